--- a/src/main/java/crankwick/app/Commands.java
+++ b/src/main/java/crankwick/app/Commands.java
@@ -1,14 +1,14 @@
 package crankwick.app;
 
 import com.google.gson.Gson;
-import crankwick.emulate.Emulation;
-import crankwick.emulate.MemberList;
-import crankwick.handover.HandoverSettings;
-import crankwick.lab.DrainLab;
-import crankwick.lab.HandoverLab;
+import crankwick.emulator.DatabaseEmulator;
+import crankwick.emulator.EmulatedEndpointList;
+import crankwick.failover.FailoverSettings;
 import crankwick.net.CodecFilter;
-import crankwick.pg.PgMemberCodec;
-import crankwick.tds.TdsMemberCodec;
+import crankwick.pg.PgEmulatorCodec;
+import crankwick.simulation.DrainSimulation;
+import crankwick.simulation.FailoverSimulation;
+import crankwick.tds.TdsEmulatorCodec;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -90,7 +90,7 @@
     static final class Simhost implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            crankwick.simhost.Simhost.run();
+            crankwick.simulator.SimulatorCommand.run();
             return 0;
         }
     }
@@ -153,9 +153,10 @@
             require(spec, changes >= 0 && changes <= 10_000, "--changes takes 0 to 10000");
             require(spec, every >= 100 && every <= 3_600_000, "--every-ms takes 100 to 3600000");
             require(spec, seconds >= 1 && seconds <= 86_400, "--seconds takes 1 to 86400");
-            CodecFilter codec = wire.equals("pg") ? new PgMemberCodec() : new TdsMemberCodec();
+            CodecFilter codec = wire.equals("pg") ? new PgEmulatorCodec() : new TdsEmulatorCodec();
             PrintWriter out = spec.commandLine().getOut();
-            try (Emulation emulation = new Emulation(codec, groups, seed, new MemberList(zone, zoneFile))) {
+            try (DatabaseEmulator emulation =
+                    new DatabaseEmulator(codec, groups, seed, new EmulatedEndpointList(zone, zoneFile))) {
                 out.println("discovery at 127.0.0.1:" + emulation.listPort());
                 out.println(emulation.list());
                 out.flush();
@@ -237,7 +238,8 @@
             require(spec, rounds >= 1 && rounds <= 10_000, "--rounds takes 1 to 10000");
             require(spec, turn >= 0 && turn <= 60_000, "--turn-ms takes 0 to 60000");
             require(spec, late >= 0 && late <= 60_000, "--late-ms takes 0 to 60000");
-            DrainLab lab = new DrainLab(new DrainLab.Options(proxies, rounds, seed, turn * 1_000, late * 1_000));
+            DrainSimulation lab =
+                    new DrainSimulation(new DrainSimulation.Options(proxies, rounds, seed, turn * 1_000, late * 1_000));
             PrintWriter out = spec.commandLine().getOut();
             out.println(new Gson().toJson(lab.run()));
             if (lab.violation() != null) {
@@ -302,8 +304,12 @@
             require(spec, groups >= 1 && groups <= 1_000, "--groups takes 1 to 1000");
             require(spec, failovers >= 1 && failovers <= 1_000_000, "--failovers takes 1 to 1000000");
             require(spec, hope >= 0 && hope <= 1, "--hope takes 0 to 1");
-            HandoverLab lab = new HandoverLab(new HandoverLab.Options(
-                    groups, failovers, seed, without ? null : HandoverSettings.DEFAULT.withHopeLeast(hope), fault()));
+            FailoverSimulation lab = new FailoverSimulation(new FailoverSimulation.Options(
+                    groups,
+                    failovers,
+                    seed,
+                    without ? null : FailoverSettings.DEFAULT.withMinSuccessProbability(hope),
+                    fault()));
             Map<String, Object> figures = lab.run();
             PrintWriter out = spec.commandLine().getOut();
             if (lab.violation() != null) {
@@ -321,9 +327,10 @@
             return lab.violation() == null ? 0 : 1;
         }
 
-        private HandoverLab.Fault fault() {
+        private FailoverSimulation.Fault fault() {
             try {
-                return HandoverLab.Fault.valueOf(fault.toUpperCase(Locale.ROOT).replace('-', '_'));
+                return FailoverSimulation.Fault.valueOf(
+                        fault.toUpperCase(Locale.ROOT).replace('-', '_'));
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(spec.commandLine(), "--fault: there is no " + fault, e);
             }
--- a/src/main/java/crankwick/app/Main.java
+++ b/src/main/java/crankwick/app/Main.java
@@ -2,17 +2,17 @@
 
 import crankwick.broker.Contract;
 import crankwick.discovery.Discovery;
-import crankwick.discovery.DnsSdFile;
-import crankwick.discovery.HttpWatch;
-import crankwick.discovery.ListCodec;
-import crankwick.discovery.Listing;
-import crankwick.handover.HandoverSettings;
+import crankwick.discovery.DnsSdZoneFile;
+import crankwick.discovery.EndpointList;
+import crankwick.discovery.EndpointListCodec;
+import crankwick.discovery.HttpEndpointWatch;
+import crankwick.failover.FailoverSettings;
 import crankwick.net.Transport;
+import crankwick.pg.PgClientCodec;
 import crankwick.pg.PgDatabaseCodec;
-import crankwick.pg.PgFrontCodec;
-import crankwick.simhost.Simhost;
+import crankwick.simulator.SimulatorCommand;
+import crankwick.tds.TdsClientCodec;
 import crankwick.tds.TdsDatabaseCodec;
-import crankwick.tds.TdsFrontCodec;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -29,7 +29,7 @@
     /** Exits 2 with one line where the command or a configuration can't be used. */
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length == 1 && args[0].equals("simhost")) {
-            Simhost.run();
+            SimulatorCommand.run();
         } else if (args.length >= 1
                 && args[0].equals("serve")
                 && (args.length == 1 || args.length == 2 && !args[1].startsWith("-"))) {
@@ -50,7 +50,7 @@
                 refuse("neither ROUTER_CONFIG nor an operator's file is given");
             }
             PlatformConfig config = platform == null ? null : PlatformConfig.read(Path.of(platform));
-            OperatorFile file = operator == null ? null : OperatorFile.read(operator);
+            OperatorConfig file = operator == null ? null : OperatorConfig.read(operator);
             Transport transport = new Transport();
             if (config != null) {
                 services.add(platform(Path.of(platform), config, transport, file == null ? null : file.changes()));
@@ -78,9 +78,9 @@
     }
 
     /** An operator's file holds for the platform's front too in what it says of changes of primaries. */
-    private static Service platform(Path file, PlatformConfig config, Transport transport, HandoverSettings changes)
+    private static Service platform(Path file, PlatformConfig config, Transport transport, FailoverSettings changes)
             throws IOException {
-        var wire = new Service.Wire("pg", new PgFrontCodec(), new PgDatabaseCodec());
+        var wire = new Service.Wire("pg", new PgClientCodec(), new PgDatabaseCodec());
         Service service = new Service(
                 wire,
                 config.settings(),
@@ -89,12 +89,12 @@
                 config.sockets(),
                 transport,
                 changes);
-        ListCodec lists = new ListCodec(config.settings().zoneNames());
+        EndpointListCodec lists = new EndpointListCodec(config.settings().zoneNames());
         service.start(
                 config.listen(),
                 config.sockets(),
                 config.known(),
-                (loop, clock) -> new HttpWatch(
+                (loop, clock) -> new HttpEndpointWatch(
                         transport,
                         loop,
                         clock,
@@ -108,19 +108,19 @@
         return service;
     }
 
-    private static Service tds(Path path, OperatorFile file, Transport transport) throws IOException {
-        var wire = new Service.Wire("tds", new TdsFrontCodec(), new TdsDatabaseCodec());
+    private static Service tds(Path path, OperatorConfig file, Transport transport) throws IOException {
+        var wire = new Service.Wire("tds", new TdsClientCodec(), new TdsDatabaseCodec());
         List<String> zones = file.settings().zoneNames();
         Service service = new Service(
                 wire, file.settings(), System.nanoTime(), file.contracts(), file.sockets(), transport, file.changes());
-        Discovery.News known = Listing.known(DnsSdFile.parse(file.zone(), zones));
+        Discovery.ListUpdate known = EndpointList.known(DnsSdZoneFile.parse(file.zone(), zones));
         service.start(
                 file.listen(),
                 file.sockets(),
                 known,
-                (loop, clock) -> new DnsSdFile(
+                (loop, clock) -> new DnsSdZoneFile(
                         file.zone(),
-                        () -> OperatorFile.read(path).zone(),
+                        () -> OperatorConfig.read(path).zone(),
                         zones,
                         known,
                         file.rereadEvery(),
--- a/src/main/java/crankwick/app/OperatorFile.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -2,11 +2,11 @@
 
 import crankwick.broker.Contract;
 import crankwick.discovery.Discovery;
-import crankwick.discovery.DnsSdFile;
-import crankwick.discovery.ListCodec;
-import crankwick.discovery.Listing;
-import crankwick.handover.HandoverSettings;
-import crankwick.simhost.SettingsCodec;
+import crankwick.discovery.DnsSdZoneFile;
+import crankwick.discovery.EndpointList;
+import crankwick.discovery.EndpointListCodec;
+import crankwick.failover.FailoverSettings;
+import crankwick.settings.SettingsCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -26,13 +26,13 @@
 import org.xbill.DNS.TextParseException;
 
 /** The operator's file of the TDS front; see deploy/tds.toml for its keys. */
-record OperatorFile(
+record OperatorConfig(
         InetSocketAddress listen,
         int sockets,
-        DnsSdFile.Zone zone,
+        DnsSdZoneFile.Zone zone,
         long rereadEvery,
         Map<String, Contract> contracts,
-        HandoverSettings changes,
+        FailoverSettings changes,
         SettingsCodec settings) {
     private static final Set<String> KEYS = Set.of("listen", "sockets", "discovery", "teams", "handover", "settings");
     private static final Set<String> DISCOVERY_KEYS = Set.of("records", "service", "reread_ms");
@@ -54,7 +54,7 @@
             "planned_most_ms");
 
     /** Reads the file; throws IllegalArgumentException naming the key at fault. */
-    static OperatorFile read(Path file) {
+    static OperatorConfig read(Path file) {
         TomlParseResult root;
         try {
             root = Toml.parse(file);
@@ -71,7 +71,7 @@
         }
     }
 
-    private static OperatorFile read(Path file, TomlTable root) {
+    private static OperatorConfig read(Path file, TomlTable root) {
         known(root, "", KEYS);
         TomlTable discovery = table(root, "discovery");
         known(discovery, "discovery.", DISCOVERY_KEYS);
@@ -82,18 +82,18 @@
             throw new IllegalArgumentException("settings: " + e.getMessage(), e);
         }
         String listen = text(root, "listen", "listen");
-        InetSocketAddress address = converted("listen", listen, ListCodec::address);
+        InetSocketAddress address = converted("listen", listen, EndpointListCodec::address);
         Path records = file.toAbsolutePath().resolveSibling(text(discovery, "records", "discovery.records"));
         Name service =
-                converted("discovery.service", text(discovery, "service", "discovery.service"), OperatorFile::name);
-        DnsSdFile.Zone zone = new DnsSdFile.Zone(records, service);
+                converted("discovery.service", text(discovery, "service", "discovery.service"), OperatorConfig::name);
+        DnsSdZoneFile.Zone zone = new DnsSdZoneFile.Zone(records, service);
         converted("discovery.records", zone, z -> databases(z, settings.zoneNames()));
         Map<String, Contract> contracts = new HashMap<>();
         TomlTable teams = table(root, "teams");
         for (String team : teams.keySet()) {
             contracts.put(team, contract(table(teams, team), "teams." + team + ".", settings.classNames()));
         }
-        return new OperatorFile(
+        return new OperatorConfig(
                 address,
                 (int) number(root, "sockets", "sockets", 1),
                 zone,
@@ -104,28 +104,28 @@
     }
 
     /** Null without the table: changes of primaries are then left to the router alone. */
-    private static HandoverSettings changes(TomlTable root) {
+    private static FailoverSettings changes(TomlTable root) {
         TomlTable in = typed("handover", () -> root.getTable(List.of("handover")));
         if (in == null) {
             return null;
         }
         String at = "handover.";
         known(in, at, HANDOVER_KEYS);
-        HandoverSettings d = HandoverSettings.DEFAULT;
-        return new HandoverSettings(
-                (int) whole(in, at, "held_per_group", d.heldPerGroup()),
-                (int) whole(in, at, "held_per_team", d.heldPerTeam()),
+        FailoverSettings d = FailoverSettings.DEFAULT;
+        return new FailoverSettings(
+                (int) whole(in, at, "held_per_group", d.bufferedPerGroup()),
+                (int) whole(in, at, "held_per_team", d.bufferedPerTeam()),
                 whole(in, at, "held_bytes_per_group", d.bytesPerGroup()),
                 whole(in, at, "held_bytes_per_team", d.bytesPerTeam()),
-                share(in, at, "hope_least", d.hopeLeast()),
-                (int) whole(in, at, "start_window", d.startWindow()),
+                share(in, at, "hope_least", d.minSuccessProbability()),
+                (int) whole(in, at, "start_window", d.initialWindow()),
                 millis(in, at, "key_margin_ms", d.keyMargin()),
-                (int) whole(in, at, "keys", d.keys()),
-                millis(in, at, "key_memory_ms", d.keyMemory()),
-                millis(in, at, "unplanned_least_ms", d.unplannedLeast()),
-                millis(in, at, "unplanned_most_ms", d.unplannedMost()),
-                millis(in, at, "planned_least_ms", d.plannedLeast()),
-                millis(in, at, "planned_most_ms", d.plannedMost()));
+                (int) whole(in, at, "keys", d.maxKeys()),
+                millis(in, at, "key_memory_ms", d.keyRetention()),
+                millis(in, at, "unplanned_least_ms", d.unplannedMin()),
+                millis(in, at, "unplanned_most_ms", d.unplannedMax()),
+                millis(in, at, "planned_least_ms", d.plannedMin()),
+                millis(in, at, "planned_most_ms", d.plannedMax()));
     }
 
     private static double share(TomlTable in, String at, String key, double instead) {
@@ -151,11 +151,11 @@
         TomlArray names = typed(at + "classes", () -> team.getArray(List.of("classes")));
         Set<Integer> classes = new HashSet<>();
         for (Object name : names == null ? List.of() : names.toList()) {
-            int cls = classNames.indexOf(name);
-            if (cls < 0) {
+            int classIndex = classNames.indexOf(name);
+            if (classIndex < 0) {
                 throw new IllegalArgumentException("unusable key " + at + "classes: no class " + name);
             }
-            classes.add(cls);
+            classes.add(classIndex);
         }
         return new Contract(
                 classes,
@@ -164,9 +164,9 @@
                 number(team, "deadline_cap_ms", at + "deadline_cap_ms", 0) * 1_000);
     }
 
-    private static Discovery.News databases(DnsSdFile.Zone zone, List<String> zones) {
+    private static Discovery.ListUpdate databases(DnsSdZoneFile.Zone zone, List<String> zones) {
         try {
-            return Listing.known(DnsSdFile.parse(zone, zones));
+            return EndpointList.known(DnsSdZoneFile.parse(zone, zones));
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
--- a/src/main/java/crankwick/app/PlatformConfig.java
+++ b/src/main/java/crankwick/app/PlatformConfig.java
@@ -3,9 +3,9 @@
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import crankwick.discovery.Discovery;
-import crankwick.discovery.ListCodec;
-import crankwick.discovery.Listing;
-import crankwick.simhost.SettingsCodec;
+import crankwick.discovery.EndpointList;
+import crankwick.discovery.EndpointListCodec;
+import crankwick.settings.SettingsCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -24,7 +24,7 @@
         int sockets,
         SettingsCodec settings,
         long version,
-        Discovery.News known) {
+        Discovery.ListUpdate known) {
 
     /** Reads the file; throws IllegalArgumentException naming the key at fault. */
     static PlatformConfig read(Path file) throws IOException {
@@ -35,12 +35,14 @@
             key = "settings";
             SettingsCodec settings = new SettingsCodec(root.getAsJsonObject(key).toString());
             key = "known";
-            ListCodec.Versioned list = new ListCodec(settings.zoneNames()).parse(root.getAsJsonObject(key));
-            Discovery.News known = Listing.known(list.entries());
+            EndpointListCodec.VersionedList list =
+                    new EndpointListCodec(settings.zoneNames()).parse(root.getAsJsonObject(key));
+            Discovery.ListUpdate known = EndpointList.known(list.entries());
             key = "listen";
-            InetSocketAddress listen = ListCodec.address(root.get(key).getAsString());
+            InetSocketAddress listen = EndpointListCodec.address(root.get(key).getAsString());
             key = "discovery";
-            InetSocketAddress discovery = ListCodec.address(root.get(key).getAsString());
+            InetSocketAddress discovery =
+                    EndpointListCodec.address(root.get(key).getAsString());
             key = "seed";
             long seed = Long.parseUnsignedLong(root.get(key).getAsString(), 16);
             key = "limits.sockets";
--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -1,18 +1,18 @@
 package crankwick.app;
 
-import crankwick.RouterApi.RequestClass;
 import crankwick.broker.Broker;
 import crankwick.broker.Contract;
 import crankwick.discovery.Discovery;
-import crankwick.handover.HandoverSettings;
-import crankwick.net.ClientFront;
+import crankwick.failover.FailoverSettings;
+import crankwick.net.ClientListener;
 import crankwick.net.Clock;
 import crankwick.net.CodecFilter;
 import crankwick.net.DatabasePool;
 import crankwick.net.EffectRunner;
 import crankwick.net.EventLoop;
 import crankwick.net.Transport;
-import crankwick.simhost.SettingsCodec;
+import crankwick.routing.api.RequestClass;
+import crankwick.settings.SettingsCodec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -55,7 +55,7 @@
     private final Clock clock = new Clock();
     private final Broker broker;
     private final EffectRunner runner;
-    private final ClientFront front;
+    private final ClientListener front;
     private Discovery discovery;
     private volatile DatabasePool pool;
     private String lastCounters = "";
@@ -69,33 +69,34 @@
             Map<String, Contract> contracts,
             int sockets,
             Transport transport,
-            HandoverSettings changes) {
+            FailoverSettings changes) {
         this.wire = wire;
         this.settings = settings;
         this.transport = transport;
         loop = new EventLoop("loop-" + wire.name());
-        broker = new Broker(settings.settings, seed, contracts, changes);
+        broker = new Broker(settings.routingSettings(), seed, contracts, changes);
         runner = new EffectRunner(broker, loop, clock);
-        front = new ClientFront(runner, settings.settings, settings.classNames(), contracts::containsKey, (int)
-                (sockets * CLIENT_SHARE));
+        front = new ClientListener(
+                runner, settings.routingSettings(), settings.classNames(), contracts::containsKey, (int)
+                        (sockets * CLIENT_SHARE));
     }
 
     /** Listens, and is ready once a list that names a database is known. */
     void start(
             InetSocketAddress listen,
             int sockets,
-            Discovery.News known,
+            Discovery.ListUpdate known,
             BiFunction<EventLoop, Clock, Discovery> discoveryOn)
             throws IOException {
         pool = new DatabasePool(
                 runner,
                 transport,
                 wire.database(),
-                settings.settings.limits().connectTimeout(),
+                settings.routingSettings().limits().connectTimeout(),
                 settings.connIdle(),
                 (int) (sockets * DATABASE_SHARE));
         loop.execute(() -> {
-            new Rehearsal(settings, wire.front(), wire.database()).run();
+            new StartupWarmup(settings, wire.front(), wire.database()).run();
             discovery = discoveryOn.apply(loop, clock);
             runner.attach(front, pool);
             onListed(known);
@@ -106,9 +107,9 @@
     }
 
     /** News of the list, on the loop. */
-    void onListed(Discovery.News news) {
+    void onListed(Discovery.ListUpdate news) {
         runner.listed(news);
-        if (!news.hosts().isEmpty()) {
+        if (!news.discovered().isEmpty()) {
             front.ready();
         }
     }
@@ -126,7 +127,7 @@
     /** From the shutdown hook's start, how long the process may still take. */
     private long timeToEnd() {
         long longest = 0;
-        for (RequestClass kind : settings.settings.classes()) {
+        for (RequestClass kind : settings.routingSettings().requestClasses()) {
             longest = Math.max(longest, kind.deadline());
         }
         return Math.min(longest, KILL_AFTER_DEADLINE_MOST) + KILL_AFTER - SIGNAL_AND_EXIT;
--- a/src/main/java/crankwick/broker/LeaveCause.java
+++ b/src/main/java/crankwick/broker/AbandonReason.java
@@ -1,7 +1,7 @@
 package crankwick.broker;
 
 /** How a client made known that it no longer wants an answer. */
-public enum LeaveCause {
+public enum AbandonReason {
     /** Its connection has ended. */
     CLOSED,
     /** It has cancelled what it asked, and its connection stays. */
--- a/src/main/java/crankwick/broker/Broker.java
+++ b/src/main/java/crankwick/broker/Broker.java
@@ -1,18 +1,26 @@
 package crankwick.broker;
 
-import crankwick.Router;
-import crankwick.RouterApi;
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Need;
-import crankwick.RouterApi.Repeat;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.RequestClass;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Settings;
-import crankwick.RouterApi.Standing;
-import crankwick.handover.Handover;
-import crankwick.handover.HandoverSettings;
+import crankwick.failover.FailoverCoordinator;
+import crankwick.failover.FailoverSettings;
+import crankwick.routing.Router;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptOutcome;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.ConsistencyLevel;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdate;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.HealthCheckResult;
+import crankwick.routing.api.Idempotency;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.RequestAbandoned;
+import crankwick.routing.api.RequestClass;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingActions;
+import crankwick.routing.api.RoutingEvent;
+import crankwick.routing.api.RoutingRequest;
+import crankwick.routing.api.RoutingSettings;
+import crankwick.routing.api.TimerFired;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,7 +44,7 @@
 
     /** A request from its coming in until it is answered and has no attempt out. */
     private static final class Life {
-        final Call call;
+        final ClientRequest call;
         final Account account;
         final long expires;
         final RequestHistory history;
@@ -46,7 +54,7 @@
         String server;
         long sentAt;
         /** When the first attempt that may have run was sent, or NONE. */
-        long mayHaveRunSince = RouterApi.NONE;
+        long mayHaveRunSince = AbsentValue.NONE;
         /** Past its deadline, an attempt that was not known to have begun has been recalled. */
         boolean recalled;
 
@@ -54,7 +62,7 @@
         /** Not told to the router yet. */
         boolean held;
 
-        Life(Call call, Account account, long expires, RequestHistory history) {
+        Life(ClientRequest call, Account account, long expires, RequestHistory history) {
             this.call = call;
             this.account = account;
             this.expires = expires;
@@ -76,7 +84,7 @@
         }
     }
 
-    private final Settings settings;
+    private final RoutingSettings settings;
     private final Router router;
     private final Map<String, Contract> contracts;
     private final Map<String, Account> accounts = new HashMap<>();
@@ -84,14 +92,14 @@
     /** Of all lives: a second request by the same id would be a second attempt at a database. */
     private final Set<String> ids = new HashSet<>();
 
-    private final ArrayDeque<RouterApi.Event> toRouter = new ArrayDeque<>();
-    private final RouterApi.Actions actions = new RouterActions();
-    private final Counters counters = new Counters();
-    private final HistoryLog historyLog = new HistoryLog();
+    private final ArrayDeque<RoutingEvent> toRouter = new ArrayDeque<>();
+    private final RoutingActions actions = new RouterActions();
+    private final BrokerCounters counters = new BrokerCounters();
+    private final RequestHistoryLog historyLog = new RequestHistoryLog();
     /** Null where changes of primaries are left to the router alone. */
-    private final Handover handover;
+    private final FailoverCoordinator handover;
 
-    private final Handover.Decisions decisions = new HandoverDecisions();
+    private final FailoverCoordinator.FailoverActions decisions = new HandoverDecisions();
     private List<Effect> effects = new ArrayList<>();
     private long now;
 
@@ -99,43 +107,43 @@
      * Serves the teams of {@code contracts}; a front lets no other in. {@code changes} of primaries are
      * left to the router alone where null.
      */
-    public Broker(Settings settings, long seed, Map<String, Contract> contracts, HandoverSettings changes) {
+    public Broker(RoutingSettings settings, long seed, Map<String, Contract> contracts, FailoverSettings changes) {
         this.settings = settings;
         this.contracts = Map.copyOf(contracts);
         router = new Router(settings, seed);
-        handover = changes == null ? null : new Handover(changes, settings, seed);
+        handover = changes == null ? null : new FailoverCoordinator(changes, settings, seed);
     }
 
     /** Takes one event at the caller's time; the effects are to be carried out in order. */
     public List<Effect> reduce(BrokerEvent event, long time) {
         now = time;
         effects = new ArrayList<>(4);
-        long group = RouterApi.NONE;
-        if (event instanceof BrokerEvent.Taken e) {
-            group = e.call().group();
-            onTaken(e.call());
-        } else if (event instanceof BrokerEvent.Ended e) {
-            Life life = lives.get(e.ref());
-            group = life == null ? RouterApi.NONE : life.call.group();
+        long group = AbsentValue.NONE;
+        if (event instanceof BrokerEvent.RequestReceived e) {
+            group = e.request().groupId();
+            onTaken(e.request());
+        } else if (event instanceof BrokerEvent.AttemptEnded e) {
+            Life life = lives.get(e.requestId());
+            group = life == null ? AbsentValue.NONE : life.call.groupId();
             onEnded(e);
-        } else if (event instanceof BrokerEvent.Written e) {
+        } else if (event instanceof BrokerEvent.AttemptWritten e) {
             onWritten(e);
-        } else if (event instanceof BrokerEvent.Left e) {
+        } else if (event instanceof BrokerEvent.RequestAbandoned e) {
             onLeft(e);
-        } else if (event instanceof BrokerEvent.DeadlineDue e) {
-            onDeadline(e.ref());
-        } else if (event instanceof BrokerEvent.RouterDue e) {
-            toRouter.add(new RouterApi.Timer(e.ref()));
-        } else if (event instanceof BrokerEvent.Probed e) {
-            Report report = believed(e.report());
+        } else if (event instanceof BrokerEvent.DeadlineReached e) {
+            onDeadline(e.requestId());
+        } else if (event instanceof BrokerEvent.RoutingTimerFired e) {
+            toRouter.add(new TimerFired(e.timerId()));
+        } else if (event instanceof BrokerEvent.HealthCheckEnded e) {
+            LoadReport report = believed(e.report());
             if (handover != null) {
-                group = handover.groupOf(e.server());
-                report = handover.probed(e.server(), e.result(), e.duration(), report, now);
+                group = handover.groupOf(e.endpointId());
+                report = handover.probed(e.endpointId(), e.result(), e.duration(), report, now);
             }
-            toRouter.add(new RouterApi.ProbeResult(e.server(), e.result(), e.duration(), report));
-        } else if (event instanceof BrokerEvent.Listed e) {
-            toRouter.add(new RouterApi.Membership(
-                    e.kind(), handover == null ? e.members() : handover.listed(e.kind(), e.members(), now)));
+            toRouter.add(new HealthCheckResult(e.endpointId(), e.result(), e.duration(), report));
+        } else if (event instanceof BrokerEvent.EndpointsUpdated e) {
+            toRouter.add(new EndpointUpdate(
+                    e.kind(), handover == null ? e.endpoints() : handover.listed(e.kind(), e.endpoints(), now)));
             recallFrom(e);
         }
         tellRouter();
@@ -153,17 +161,17 @@
     }
 
     private void decideChanges(BrokerEvent event, long group) {
-        if (event instanceof BrokerEvent.HandoverDue) {
+        if (event instanceof BrokerEvent.FailoverTimerFired) {
             handover.onDue(now, decisions);
-        } else if (event instanceof BrokerEvent.Listed) {
+        } else if (event instanceof BrokerEvent.EndpointsUpdated) {
             handover.decideAll(now, decisions);
-        } else if (group != RouterApi.NONE) {
+        } else if (group != AbsentValue.NONE) {
             handover.decide(group, now, decisions);
         }
     }
 
     /** What is known of changes of primaries; null where they are left to the router alone. */
-    public Handover handover() {
+    public FailoverCoordinator handover() {
         return handover;
     }
 
@@ -173,71 +181,75 @@
     }
 
     /** What has been counted so far. */
-    public Counters counters() {
+    public BrokerCounters counters() {
         return counters;
     }
 
-    private void onTaken(Call call) {
+    private void onTaken(ClientRequest call) {
         counters.countTaken();
         Contract contract = contracts.get(call.team());
         Account account = accounts.computeIfAbsent(call.team(), team -> new Account(contract, now));
-        Reply objection = ids.contains(call.id()) ? new Reply.Failed(Reply.Reason.ID_IN_USE) : objection(account, call);
+        Reply objection = ids.contains(call.clientRequestId())
+                ? new Reply.Failed(Reply.Reason.ID_IN_USE)
+                : objection(account, call);
         if (objection != null) {
-            reply(call.ref(), objection);
+            reply(call.requestId(), objection);
             return;
         }
-        long wait = contract.deadlineCap() > 0 ? Math.min(call.patience(), contract.deadlineCap()) : call.patience();
+        long wait = contract.maxTimeout() > 0 ? Math.min(call.timeout(), contract.maxTimeout()) : call.timeout();
         Life life = new Life(call, account, now + wait, new RequestHistory(call, now));
-        Handover.Admission admission = handover == null
-                ? Handover.Admission.PASS
+        FailoverCoordinator.Admission admission = handover == null
+                ? FailoverCoordinator.Admission.ADMIT
                 : handover.admit(
-                        new Handover.Arrival(
-                                call.ref(),
-                                call.group(),
+                        new FailoverCoordinator.ArrivingRequest(
+                                call.requestId(),
+                                call.groupId(),
                                 call.team(),
-                                call.cls(),
-                                call.key(),
-                                call.bytes(),
+                                call.classIndex(),
+                                call.idempotencyKey(),
+                                call.statementBytes(),
                                 life.expires),
                         now);
-        if (admission == Handover.Admission.REFUSE) {
-            reply(call.ref(), noPrimary(call));
+        if (admission == FailoverCoordinator.Admission.REJECT) {
+            reply(call.requestId(), noPrimary(call));
             return;
-        } else if (admission == Handover.Admission.FAIL) {
-            reply(call.ref(), new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
+        } else if (admission == FailoverCoordinator.Admission.FAIL) {
+            reply(call.requestId(), new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
             return;
         }
-        life.held = admission == Handover.Admission.HOLD;
-        lives.put(call.ref(), life);
-        ids.add(call.id());
+        life.held = admission == FailoverCoordinator.Admission.BUFFER;
+        lives.put(call.requestId(), life);
+        ids.add(call.clientRequestId());
         account.outstanding++;
-        effects.add(new Effect.Arm(wait, new BrokerEvent.DeadlineDue(call.ref())));
+        effects.add(new Effect.ScheduleTimer(wait, new BrokerEvent.DeadlineReached(call.requestId())));
         if (!life.held) {
             request(life);
         }
     }
 
-    private Reply noPrimary(Call call) {
-        return new Reply.Refused(Reply.Reason.NO_PRIMARY, handover.retryAfter(call.group(), call.cls(), now));
+    private Reply noPrimary(ClientRequest call) {
+        return new Reply.Rejected(Reply.Reason.NO_PRIMARY, handover.retryAfter(call.groupId(), call.classIndex(), now));
     }
 
     private void request(Life life) {
-        Call call = life.call;
-        long tokenAge = call.after() == RouterApi.NONE ? RouterApi.NONE : Math.max(1, now - call.after());
-        toRouter.add(
-                new RouterApi.Request(call.ref(), call.cls(), call.group(), call.session(), tokenAge, life.expires));
+        ClientRequest call = life.call;
+        long tokenAge = call.requiredPosition() == AbsentValue.NONE
+                ? AbsentValue.NONE
+                : Math.max(1, now - call.requiredPosition());
+        toRouter.add(new RoutingRequest(
+                call.requestId(), call.classIndex(), call.groupId(), call.sessionId(), tokenAge, life.expires));
     }
 
     /** Why the contract forbids the call; null if it does not. A refusal says when there is room again. */
-    private Reply objection(Account account, Call call) {
+    private Reply objection(Account account, ClientRequest call) {
         Contract contract = account.contract;
-        if (!contract.classes().isEmpty() && !contract.classes().contains(call.cls())) {
+        if (!contract.allowedClasses().isEmpty() && !contract.allowedClasses().contains(call.classIndex())) {
             return new Reply.Failed(Reply.Reason.CLASS_NOT_ALLOWED);
         }
-        if (contract.outstanding() > 0 && account.outstanding >= contract.outstanding()) {
-            return new Reply.Refused(
+        if (contract.maxOutstanding() > 0 && account.outstanding >= contract.maxOutstanding()) {
+            return new Reply.Rejected(
                     Reply.Reason.OVER_OUTSTANDING,
-                    settings.classes().get(call.cls()).aim());
+                    settings.requestClasses().get(call.classIndex()).latencyObjective());
         }
         double rate = contract.ratePerSecond();
         if (rate > 0) {
@@ -245,7 +257,7 @@
             account.tokens = Math.min(most, account.tokens + rate * (now - account.filledAt) / SECOND);
             account.filledAt = now;
             if (account.tokens < 1) {
-                return new Reply.Refused(
+                return new Reply.Rejected(
                         Reply.Reason.OVER_RATE, (long) Math.ceil((1 - account.tokens) * SECOND / rate));
             }
             account.tokens--;
@@ -254,30 +266,30 @@
     }
 
     /** What has not begun at a database that is to leave is decided anew, once the router has the list. */
-    private void recallFrom(BrokerEvent.Listed e) {
-        Map<String, Standing> told = new HashMap<>();
-        e.members().forEach(m -> told.put(m.server(), m.standing()));
-        Standing unnamed = e.kind() == ListKind.FULL ? Standing.GONE : Standing.LIVE;
+    private void recallFrom(BrokerEvent.EndpointsUpdated e) {
+        Map<String, EndpointStatus> told = new HashMap<>();
+        e.endpoints().forEach(m -> told.put(m.id(), m.status()));
+        EndpointStatus unnamed = e.kind() == EndpointUpdateKind.FULL ? EndpointStatus.REMOVED : EndpointStatus.LIVE;
         for (Life life : lives.values()) {
-            Standing standing = told.getOrDefault(life.server, unnamed);
-            boolean leaves = standing == Standing.DRAINING
-                    || standing == Standing.GONE && !settings.rules().onlyDrainingBinds();
+            EndpointStatus standing = told.getOrDefault(life.server, unnamed);
+            boolean leaves = standing == EndpointStatus.DRAINING
+                    || standing == EndpointStatus.REMOVED && !settings.rules().unlistedEndpointsUsable();
             if (life.inFlight && !life.written && leaves) {
-                effects.add(new Effect.Recall(life.call.ref()));
+                effects.add(new Effect.CancelQueued(life.call.requestId()));
             }
         }
     }
 
-    private void onWritten(BrokerEvent.Written e) {
-        Life life = lives.get(e.ref());
+    private void onWritten(BrokerEvent.AttemptWritten e) {
+        Life life = lives.get(e.requestId());
         if (life != null && life.inFlight && e.attempt() == life.attempts - 1) {
             life.written = true;
             life.history.written(now);
         }
     }
 
-    private void onEnded(BrokerEvent.Ended e) {
-        Life life = lives.get(e.ref());
+    private void onEnded(BrokerEvent.AttemptEnded e) {
+        Life life = lives.get(e.requestId());
         if (life != null && life.inFlight && e.attempt() == life.attempts - 1) {
             end(life, e);
         }
@@ -285,33 +297,33 @@
 
     /** Guards against a spoilt position: one from the future would make a database pass for fresh. */
     private long believed(long position) {
-        return position <= now + AHEAD ? position : RouterApi.NONE;
+        return position <= now + AHEAD ? position : AbsentValue.NONE;
     }
 
-    private Report believed(Report report) {
+    private LoadReport believed(LoadReport report) {
         return report == null || believed(report.position()) == report.position() ? report : null;
     }
 
-    private void end(Life life, BrokerEvent.Ended e) {
+    private void end(Life life, BrokerEvent.AttemptEnded e) {
         life.inFlight = false;
         life.history.ended(e.result(), now);
-        if (life.mayHaveRunSince == RouterApi.NONE && !e.result().provesNotRun()) {
+        if (life.mayHaveRunSince == AbsentValue.NONE && !e.result().provesNotExecuted()) {
             life.mayHaveRunSince = life.sentAt;
         }
         counters.count(e.result());
         Role role = e.role();
-        Report report = believed(e.report());
-        boolean write = settings.classes().get(life.call.cls()).need() == Need.WRITE;
+        LoadReport report = believed(e.report());
+        boolean write = settings.requestClasses().get(life.call.classIndex()).consistency() == ConsistencyLevel.WRITE;
         if (handover != null) {
             role = handover.heard(life.server, write, life.sentAt, e.result(), role, believed(e.position()), now);
             report = handover.believed(life.server, report, now);
-            handover.ended(e.ref(), e.result(), e.duration(), now);
+            handover.ended(e.requestId(), e.result(), e.duration(), now);
         }
-        if (e.result() == Result.OK) {
+        if (e.result() == AttemptResult.OK) {
             answer(life, new Reply.Served(e.value(), write, believed(e.position())));
         }
-        toRouter.add(new RouterApi.Outcome(
-                e.ref(),
+        toRouter.add(new AttemptOutcome(
+                e.requestId(),
                 e.attempt(),
                 life.answered,
                 e.result(),
@@ -323,16 +335,16 @@
         forget(life);
     }
 
-    private void onLeft(BrokerEvent.Left e) {
-        Life life = lives.get(e.ref());
+    private void onLeft(BrokerEvent.RequestAbandoned e) {
+        Life life = lives.get(e.requestId());
         if (life != null && !life.answered) {
-            counters.count(e.cause());
-            life.history.left(e.cause(), now);
+            counters.count(e.reason());
+            life.history.left(e.reason(), now);
             settled(life);
             if (life.inFlight && !life.written) {
-                effects.add(new Effect.Recall(e.ref()));
+                effects.add(new Effect.CancelQueued(e.requestId()));
             }
-            toRouter.add(new RouterApi.Gone(e.ref()));
+            toRouter.add(new RequestAbandoned(e.requestId()));
             forget(life);
         }
     }
@@ -346,35 +358,42 @@
         if (life == null) {
             return;
         }
-        boolean safe = settings.classes().get(life.call.cls()).repeat() == Repeat.SAFE;
+        boolean safe = settings.requestClasses().get(life.call.classIndex()).idempotency() == Idempotency.IDEMPOTENT;
         if (life.inFlight && life.written && safe && now < life.expires + LINGER) {
-            effects.add(new Effect.Arm(life.expires + LINGER - now, new BrokerEvent.DeadlineDue(ref)));
+            effects.add(new Effect.ScheduleTimer(life.expires + LINGER - now, new BrokerEvent.DeadlineReached(ref)));
         } else if (life.inFlight && !life.written && !life.recalled) {
             // The command may be on its way, which only the pool can tell: what has not begun ends by this as
             // never sent, and whatever has is withdrawn right after as an attempt that may have run.
             life.recalled = true;
-            effects.add(new Effect.Recall(ref));
-            effects.add(new Effect.Arm(0, new BrokerEvent.DeadlineDue(ref)));
+            effects.add(new Effect.CancelQueued(ref));
+            effects.add(new Effect.ScheduleTimer(0, new BrokerEvent.DeadlineReached(ref)));
             return;
         } else if (life.inFlight) {
-            withdraw(life, Result.TIMEOUT);
+            withdraw(life, AttemptResult.TIMEOUT);
             tellRouter();
         }
         if (!life.answered) {
             boolean harmless = life.held && !handover.isDoubtful(ref);
             answer(life, harmless ? noPrimary(life.call) : new Reply.Failed(Reply.Reason.NO_OUTCOME));
-            toRouter.add(new RouterApi.Gone(ref));
+            toRouter.add(new RequestAbandoned(ref));
             forget(life);
         }
     }
 
-    private void withdraw(Life life, Result result) {
+    private void withdraw(Life life, AttemptResult result) {
         int attempt = life.attempts - 1;
-        effects.add(new Effect.Withdraw(life.call.ref(), attempt));
+        effects.add(new Effect.CancelAttempt(life.call.requestId(), attempt));
         end(
                 life,
-                new BrokerEvent.Ended(
-                        life.call.ref(), attempt, result, now - life.sentAt, Role.UNKNOWN, RouterApi.NONE, null, null));
+                new BrokerEvent.AttemptEnded(
+                        life.call.requestId(),
+                        attempt,
+                        result,
+                        now - life.sentAt,
+                        Role.UNKNOWN,
+                        AbsentValue.NONE,
+                        null,
+                        null));
     }
 
     private void send(Life life, String server) {
@@ -385,30 +404,24 @@
                 && now < beginBy
                 && attempt < settings.limits().maxAttempts();
         if (!mayGo) {
-            counters.count(Result.NOT_SENT);
-            toRouter.add(new RouterApi.Outcome(
-                    life.call.ref(),
-                    attempt,
-                    life.answered,
-                    Result.NOT_SENT,
-                    0,
-                    server,
-                    Role.UNKNOWN,
-                    RouterApi.NONE,
-                    null));
+            counters.count(AttemptResult.NOT_SENT);
+            reportNotSent(life, attempt, server, life.answered);
             return;
         }
-        Handover.Going going = handover == null ? Handover.Going.GO : handover.send(life.call.ref(), server, now);
-        if (going != Handover.Going.GO) {
+        FailoverCoordinator.AttemptPermit going = handover == null
+                ? FailoverCoordinator.AttemptPermit.GRANTED
+                : handover.send(life.call.requestId(), server, now);
+        if (going != FailoverCoordinator.AttemptPermit.GRANTED) {
             answer(
                     life,
-                    going == Handover.Going.WINDOW_OVER
+                    going == FailoverCoordinator.AttemptPermit.KEY_EXPIRED
                             ? new Reply.Failed(Reply.Reason.KEY_IN_DOUBT)
-                            : new Reply.Refused(
+                            : new Reply.Rejected(
                                     Reply.Reason.OVER_KEYS,
-                                    settings.classes().get(life.call.cls()).aim()));
-            toRouter.add(new RouterApi.Outcome(
-                    life.call.ref(), attempt, true, Result.NOT_SENT, 0, server, Role.UNKNOWN, RouterApi.NONE, null));
+                                    settings.requestClasses()
+                                            .get(life.call.classIndex())
+                                            .latencyObjective()));
+            reportNotSent(life, attempt, server, true);
             forget(life);
             return;
         }
@@ -418,12 +431,25 @@
         life.sentAt = now;
         life.history.sent(server, now);
         counters.countSent();
-        effects.add(new Effect.Send(life.call.ref(), attempt, server, life.expires, beginBy));
+        effects.add(new Effect.SendAttempt(life.call.requestId(), attempt, server, life.expires, beginBy));
+    }
+
+    private void reportNotSent(Life life, int attempt, String endpointId, boolean answered) {
+        toRouter.add(new AttemptOutcome(
+                life.call.requestId(),
+                attempt,
+                answered,
+                AttemptResult.NOT_SENT,
+                0,
+                endpointId,
+                Role.UNKNOWN,
+                AbsentValue.NONE,
+                null));
     }
 
     private long beginBy(Life life) {
-        RequestClass kind = settings.classes().get(life.call.cls());
-        boolean repeat = kind.repeat() == Repeat.KEYED && life.mayHaveRunSince != RouterApi.NONE;
+        RequestClass kind = settings.requestClasses().get(life.call.classIndex());
+        boolean repeat = kind.idempotency() == Idempotency.WITH_KEY && life.mayHaveRunSince != AbsentValue.NONE;
         return repeat ? Math.min(life.expires, life.mayHaveRunSince + kind.keyTtl()) : life.expires;
     }
 
@@ -431,7 +457,7 @@
         if (!life.answered) {
             settled(life);
             life.history.answered(reply, now);
-            reply(life.call.ref(), reply);
+            reply(life.call.requestId(), reply);
         }
     }
 
@@ -440,19 +466,19 @@
         life.answered = true;
         life.account.outstanding--;
         if (handover != null) {
-            handover.answered(life.call.ref());
+            handover.answered(life.call.requestId());
         }
     }
 
     private void reply(long ref, Reply reply) {
         counters.count(reply);
-        effects.add(new Effect.Answer(ref, reply));
+        effects.add(new Effect.SendReply(ref, reply));
     }
 
     private void forget(Life life) {
         if (life.answered && !life.inFlight) {
-            if (lives.remove(life.call.ref()) != null) {
-                ids.remove(life.call.id());
+            if (lives.remove(life.call.requestId()) != null) {
+                ids.remove(life.call.clientRequestId());
                 logHistory(life);
             }
         }
@@ -466,7 +492,7 @@
     }
 
     /** The decision module's actions become effects; what concerns a request that is over is dropped. */
-    private final class RouterActions implements RouterApi.Actions {
+    private final class RouterActions implements RoutingActions {
         @Override
         public void send(long id, String server, long patience) {
             Life life = lives.get(id);
@@ -476,13 +502,13 @@
         }
 
         @Override
-        public void refuse(long id, long retryAfter) {
+        public void reject(long id, long retryAfter) {
             boolean doubtful = handover != null && handover.isDoubtful(id);
             close(
                     id,
                     doubtful
                             ? new Reply.Failed(Reply.Reason.KEY_IN_DOUBT)
-                            : new Reply.Refused(Reply.Reason.GIVEN_UP, retryAfter));
+                            : new Reply.Rejected(Reply.Reason.GIVEN_UP, retryAfter));
         }
 
         @Override
@@ -499,31 +525,31 @@
         }
 
         @Override
-        public void cancel(long id, int attempt) {
+        public void cancelAttempt(long id, int attempt) {
             Life life = lives.get(id);
             if (life != null && life.inFlight && attempt == life.attempts - 1) {
-                withdraw(life, Result.CANCELLED);
+                withdraw(life, AttemptResult.CANCELLED);
             }
         }
 
         @Override
-        public void probe(String server) {
+        public void checkHealth(String server) {
             counters.countProbe();
-            effects.add(new Effect.Probe(server));
+            effects.add(new Effect.CheckHealth(server));
         }
 
         @Override
-        public void arm(long fromNow, long ref) {
-            effects.add(new Effect.Arm(fromNow, new BrokerEvent.RouterDue(ref)));
+        public void scheduleTimer(long fromNow, long ref) {
+            effects.add(new Effect.ScheduleTimer(fromNow, new BrokerEvent.RoutingTimerFired(ref)));
         }
 
         @Override
-        public void watch() {
+        public void watchEndpoints() {
             // The front's discovery watches by itself from its start on, pushed or asked.
         }
 
         @Override
-        public void fetch() {
+        public void fetchEndpoints() {
             // Nor does it need to be told to ask for the whole list.
         }
 
@@ -534,7 +560,7 @@
     }
 
     /** What follows of changes of primaries becomes events for the router, and effects. */
-    private final class HandoverDecisions implements Handover.Decisions {
+    private final class HandoverDecisions implements FailoverCoordinator.FailoverActions {
         @Override
         public void release(long ref) {
             Life life = lives.get(ref);
@@ -543,12 +569,12 @@
         }
 
         @Override
-        public void refuse(long ref, long retryAfter) {
-            close(ref, new Reply.Refused(Reply.Reason.NO_PRIMARY, retryAfter));
+        public void reject(long ref, long retryAfter) {
+            close(ref, new Reply.Rejected(Reply.Reason.NO_PRIMARY, retryAfter));
         }
 
         @Override
-        public void failDoubtful(long ref) {
+        public void failUnknownOutcome(long ref) {
             close(ref, new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
         }
 
@@ -557,22 +583,22 @@
             boolean told = !life.held;
             answer(life, reply);
             if (told) {
-                toRouter.add(new RouterApi.Gone(ref));
+                toRouter.add(new RequestAbandoned(ref));
             }
             forget(life);
         }
 
         @Override
-        public void withdraw(long ref) {
+        public void cancelAttempt(long ref) {
             Life life = lives.get(ref);
             if (life.inFlight) {
-                Broker.this.withdraw(life, Result.CANCELLED);
+                Broker.this.withdraw(life, AttemptResult.CANCELLED);
             }
         }
 
         @Override
-        public void arm(long fromNow) {
-            effects.add(new Effect.Arm(fromNow, new BrokerEvent.HandoverDue()));
+        public void scheduleTimer(long fromNow) {
+            effects.add(new Effect.ScheduleTimer(fromNow, new BrokerEvent.FailoverTimerFired()));
         }
 
         @Override
--- a/src/main/java/crankwick/broker/Counters.java
+++ b/src/main/java/crankwick/broker/BrokerCounters.java
@@ -1,19 +1,19 @@
 package crankwick.broker;
 
-import crankwick.RouterApi.Result;
+import crankwick.routing.api.AttemptResult;
 import java.util.EnumMap;
 import java.util.Map;
 
 /** What the broker has taken in, sent and answered since its start. */
-public final class Counters {
+public final class BrokerCounters {
     private long taken;
     private long sent;
     private long probes;
     private long served;
-    private final Map<LeaveCause, Long> left = new EnumMap<>(LeaveCause.class);
+    private final Map<AbandonReason, Long> left = new EnumMap<>(AbandonReason.class);
     private final Map<Reply.Reason, Long> refused = new EnumMap<>(Reply.Reason.class);
     private final Map<Reply.Reason, Long> failed = new EnumMap<>(Reply.Reason.class);
-    private final Map<Result, Long> outcomes = new EnumMap<>(Result.class);
+    private final Map<AttemptResult, Long> outcomes = new EnumMap<>(AttemptResult.class);
 
     void countTaken() {
         taken++;
@@ -27,16 +27,16 @@
         probes++;
     }
 
-    void count(LeaveCause cause) {
+    void count(AbandonReason cause) {
         left.merge(cause, 1L, Long::sum);
     }
 
-    void count(Result result) {
+    void count(AttemptResult result) {
         outcomes.merge(result, 1L, Long::sum);
     }
 
     void count(Reply reply) {
-        if (reply instanceof Reply.Refused r) {
+        if (reply instanceof Reply.Rejected r) {
             refused.merge(r.reason(), 1L, Long::sum);
         } else if (reply instanceof Reply.Failed f) {
             failed.merge(f.reason(), 1L, Long::sum);
--- a/src/main/java/crankwick/broker/Reply.java
+++ b/src/main/java/crankwick/broker/Reply.java
@@ -25,7 +25,7 @@
     record Served(byte[] value, boolean write, long position) implements Reply {}
 
     /** Refused: nothing ran that matters; {@code retryAfter} in microseconds, 0 for no word on it. */
-    record Refused(Reason reason, long retryAfter) implements Reply {}
+    record Rejected(Reason reason, long retryAfter) implements Reply {}
 
     /** Failed: it may or may not have had an effect. */
     record Failed(Reason reason) implements Reply {}
--- a/src/main/java/crankwick/broker/RequestHistory.java
+++ b/src/main/java/crankwick/broker/RequestHistory.java
@@ -1,6 +1,6 @@
 package crankwick.broker;
 
-import crankwick.RouterApi.Result;
+import crankwick.routing.api.AttemptResult;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -14,7 +14,7 @@
         final long sentAt;
         long writtenAt;
         long endedAt;
-        Result result;
+        AttemptResult result;
 
         Attempt(String server, long sentAt) {
             this.server = server;
@@ -26,14 +26,14 @@
     private final int requestClass;
     private final long takenAt;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private LeaveCause leaveCause;
+    private AbandonReason leaveCause;
     private long leftAt;
     private Reply reply;
     private long answeredAt;
 
-    RequestHistory(Call call, long takenAt) {
-        id = call.id();
-        requestClass = call.cls();
+    RequestHistory(ClientRequest call, long takenAt) {
+        id = call.clientRequestId();
+        requestClass = call.classIndex();
         this.takenAt = takenAt;
     }
 
@@ -45,12 +45,12 @@
         last().writtenAt = now;
     }
 
-    void ended(Result result, long now) {
+    void ended(AttemptResult result, long now) {
         last().result = result;
         last().endedAt = now;
     }
 
-    void left(LeaveCause cause, long now) {
+    void left(AbandonReason cause, long now) {
         leaveCause = cause;
         leftAt = now;
     }
@@ -102,7 +102,7 @@
     }
 
     private static String name(Reply reply) {
-        if (reply instanceof Reply.Refused refused) {
+        if (reply instanceof Reply.Rejected refused) {
             return "refused:" + refused.reason();
         }
         return reply instanceof Reply.Failed failed ? "failed:" + failed.reason() : "served";
--- a/src/main/java/crankwick/broker/HistoryLog.java
+++ b/src/main/java/crankwick/broker/RequestHistoryLog.java
@@ -1,7 +1,7 @@
 package crankwick.broker;
 
 /** Lets the histories of notable requests into the log, so many a second; counts those that it leaves out. */
-final class HistoryLog {
+final class RequestHistoryLog {
     private static final long WINDOW_MICROS = 1_000_000;
     private static final int LINES_PER_WINDOW = 20;
 
--- a/src/main/java/crankwick/discovery/Discovery.java
+++ b/src/main/java/crankwick/discovery/Discovery.java
@@ -1,11 +1,11 @@
 package crankwick.discovery;
 
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Member;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointUpdateKind;
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Where the list of databases comes from: {@link News} on the loop, from the start to the end. */
+/** Where the list of databases comes from: {@link ListUpdate} on the loop, from the start to the end. */
 public interface Discovery {
     /** Begins to watch; whatever fails then is asked for again, without being told to. */
     void start();
@@ -17,13 +17,13 @@
     void close();
 
     /** A database as the list names it; {@code address} is the one that this proxy reaches it at. */
-    record Host(Member member, InetSocketAddress address) {}
+    record DiscoveredEndpoint(Endpoint endpoint, InetSocketAddress address) {}
 
     /** What has been heard: changes, or a whole list. */
-    record News(ListKind kind, List<Host> hosts) {
+    record ListUpdate(EndpointUpdateKind kind, List<DiscoveredEndpoint> discovered) {
         /** The list without the addresses. */
-        public List<Member> members() {
-            return hosts.stream().map(Host::member).toList();
+        public List<Endpoint> endpoints() {
+            return discovered.stream().map(DiscoveredEndpoint::endpoint).toList();
         }
     }
 }
--- a/src/main/java/crankwick/discovery/DnsSdFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -1,9 +1,9 @@
 package crankwick.discovery;
 
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Standing;
 import crankwick.net.EventLoop;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.Role;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -30,8 +30,8 @@
  * service's name, PTR names the instances; each has an SRV (port, target), a TXT and its target an A.
  * The TXT's keys are those of the platform's list: zone, cell, state, mode, started_ms.
  */
-public final class DnsSdFile implements Discovery {
-    private static final Logger LOG = LoggerFactory.getLogger(DnsSdFile.class);
+public final class DnsSdZoneFile implements Discovery {
+    private static final Logger LOG = LoggerFactory.getLogger(DnsSdZoneFile.class);
 
     /** The records' file, and the service's name in it. */
     public record Zone(Path file, Name service) {}
@@ -40,8 +40,8 @@
     private final List<String> zones;
     private final long rereadEvery;
     private final EventLoop loop;
-    private final Consumer<News> listener;
-    private final Listing listing;
+    private final Consumer<ListUpdate> listener;
+    private final EndpointList listing;
     private Zone zone;
     private String last = "";
     /** What was wrong when it was last looked at: a line is worth it once. */
@@ -53,21 +53,21 @@
      * Goes on from {@code known}; {@code zones} names them in the settings' order. The file is looked at
      * every so many microseconds.
      */
-    public DnsSdFile(
+    public DnsSdZoneFile(
             Zone zone,
             Callable<Zone> configured,
             List<String> zones,
-            News known,
+            ListUpdate known,
             long rereadEvery,
             EventLoop loop,
-            Consumer<News> listener) {
+            Consumer<ListUpdate> listener) {
         this.zone = zone;
         this.configured = configured;
         this.zones = zones;
         this.rereadEvery = rereadEvery;
         this.loop = loop;
         this.listener = listener;
-        listing = new Listing(known.hosts());
+        listing = new EndpointList(known.discovered());
     }
 
     @Override
@@ -105,8 +105,8 @@
         try {
             String text = Files.readString(zone.file());
             if (!text.equals(last)) {
-                List<Listing.Entry> entries = parse(zone, zones);
-                String unread = Listing.fault(entries);
+                List<EndpointList.Entry> entries = parse(zone, zones);
+                String unread = EndpointList.fault(entries);
                 if (unread != null) {
                     LOG.warn("{} can't be read in part: {}", zone.file().getFileName(), unread);
                 }
@@ -123,7 +123,7 @@
     }
 
     /** The databases that a zone's file names, as far as they can be read; throws where it is none. */
-    public static List<Listing.Entry> parse(Zone zone, List<String> zones) throws IOException {
+    public static List<EndpointList.Entry> parse(Zone zone, List<String> zones) throws IOException {
         List<Name> instances = new ArrayList<>();
         Map<Name, SRVRecord> places = new HashMap<>();
         Map<Name, TXTRecord> texts = new HashMap<>();
@@ -141,7 +141,7 @@
                 }
             }
         }
-        List<Listing.Entry> entries = new ArrayList<>();
+        List<EndpointList.Entry> entries = new ArrayList<>();
         for (Name instance : instances) {
             SRVRecord place = places.get(instance);
             entries.add(entry(
@@ -154,27 +154,28 @@
         return entries;
     }
 
-    private static Listing.Entry entry(
+    private static EndpointList.Entry entry(
             Name instance, SRVRecord place, InetAddress address, TXTRecord txt, List<String> zones) {
         String server = instance.getLabelString(0);
-        Standing standing = null;
+        EndpointStatus standing = null;
         try {
             Map<String, String> facts = facts(txt);
-            standing = ListCodec.standing(facts.getOrDefault("state", "up"));
+            standing = EndpointListCodec.status(facts.getOrDefault("state", "up"));
             Role role = "read-write".equals(facts.get("mode")) ? Role.PRIMARY : Role.UNKNOWN;
             if (address == null) {
                 throw new IllegalArgumentException("lacks its SRV or A");
             }
-            Member member = new Member(
+            Endpoint member = new Endpoint(
                     server,
                     zones.indexOf(facts.getOrDefault("zone", "")),
                     Long.parseLong(facts.getOrDefault("cell", "")),
                     role,
                     standing,
                     Long.parseLong(facts.getOrDefault("started_ms", "0")) * 1_000);
-            return Listing.Entry.of(new Host(member, new InetSocketAddress(address, place.getPort())));
+            return EndpointList.Entry.of(
+                    new DiscoveredEndpoint(member, new InetSocketAddress(address, place.getPort())));
         } catch (IllegalArgumentException e) {
-            return new Listing.Entry(server, standing, null, instance + ": " + e.getMessage());
+            return new EndpointList.Entry(server, standing, null, instance + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/crankwick/discovery/WatchKeeper.java
+++ b/src/main/java/crankwick/discovery/EndpointWatch.java
@@ -12,7 +12,7 @@
  * fell silent, or 2 s after its hold where that is later, and must be honoured within the settings' drain
  * grace from then on.
  */
-public final class WatchKeeper {
+public final class EndpointWatch {
     /** The version to ask from that brings the whole list. */
     public static final long WHOLE = -1;
 
@@ -87,7 +87,7 @@
     private long troubleSince = NEVER;
 
     /** Goes on from a list of the given version. */
-    public WatchKeeper(long version, long seed, Calls calls) {
+    public EndpointWatch(long version, long seed, Calls calls) {
         this.version = version;
         this.calls = calls;
         random = new SplittableRandom(seed);
--- a/src/main/java/crankwick/discovery/HttpWatch.java
+++ b/src/main/java/crankwick/discovery/HttpEndpointWatch.java
@@ -24,9 +24,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's list of databases over HTTP: makes the calls that a {@link WatchKeeper} decides on. */
-public final class HttpWatch implements Discovery, WatchKeeper.Calls {
-    private static final Logger LOG = LoggerFactory.getLogger(HttpWatch.class);
+/** The platform's list of databases over HTTP: makes the calls that a {@link EndpointWatch} decides on. */
+public final class HttpEndpointWatch implements Discovery, EndpointWatch.Calls {
+    private static final Logger LOG = LoggerFactory.getLogger(HttpEndpointWatch.class);
     private static final String PATH = "/discovery/hosts";
     /** Guards against an answer without end: 1,024 databases take a seventh of it, indented. */
     private static final int MAX_BODY = 2 << 20;
@@ -35,10 +35,10 @@
     private final EventLoop loop;
     private final Clock clock;
     private final Callable<InetSocketAddress> configured;
-    private final ListCodec codec;
-    private final Listing listing;
-    private final Consumer<News> listener;
-    private final WatchKeeper keeper;
+    private final EndpointListCodec codec;
+    private final EndpointList listing;
+    private final Consumer<ListUpdate> listener;
+    private final EndpointWatch keeper;
     private InetSocketAddress address;
     private Exchange exchange;
     /** The call that was open where discovery was before; until the new place answers, or null. */
@@ -50,26 +50,26 @@
     private String fault;
 
     /** Goes on from {@code known}, of that version; {@code configured} reads the configured address. */
-    public HttpWatch(
+    public HttpEndpointWatch(
             Transport transport,
             EventLoop loop,
             Clock clock,
             InetSocketAddress address,
             Callable<InetSocketAddress> configured,
-            ListCodec codec,
-            News known,
+            EndpointListCodec codec,
+            ListUpdate known,
             long version,
             long seed,
-            Consumer<News> listener) {
+            Consumer<ListUpdate> listener) {
         this.transport = transport;
         this.loop = loop;
         this.clock = clock;
         this.address = address;
         this.configured = configured;
         this.codec = codec;
-        listing = new Listing(known.hosts());
+        listing = new EndpointList(known.discovered());
         this.listener = listener;
-        keeper = new WatchKeeper(version, seed, this);
+        keeper = new EndpointWatch(version, seed, this);
     }
 
     @Override
@@ -107,7 +107,7 @@
 
     @Override
     public void open(long call, long from, long hold) {
-        exchange = new Exchange(call, from == WatchKeeper.WHOLE ? null : "from=" + from + "&hold_ms=" + hold / 1_000);
+        exchange = new Exchange(call, from == EndpointWatch.WHOLE ? null : "from=" + from + "&hold_ms=" + hold / 1_000);
     }
 
     @Override
@@ -153,7 +153,7 @@
     }
 
     private void onBody(Exchange answered, String body) {
-        ListCodec.Versioned list;
+        EndpointListCodec.VersionedList list;
         try {
             list = codec.parse(body);
         } catch (RuntimeException e) {
@@ -169,7 +169,7 @@
             }
             return;
         }
-        String unread = Listing.fault(list.entries());
+        String unread = EndpointList.fault(list.entries());
         if (unread != null) {
             LOG.warn("discovery's answer can't be read in part: {}", unread);
             fault = "unreadable in part";
--- a/src/main/java/crankwick/emulate/Emulation.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -1,18 +1,18 @@
-package crankwick.emulate;
+package crankwick.emulator;
 
-import crankwick.RouterApi.Role;
 import crankwick.model.GroupModel;
 import crankwick.model.ModelEffect;
 import crankwick.model.ModelEvent;
 import crankwick.model.ModelEvent.Trouble.Kind;
 import crankwick.model.ModelSettings;
+import crankwick.net.ClientMessage;
+import crankwick.net.ClientReply;
 import crankwick.net.Clock;
 import crankwick.net.CodecFilter;
 import crankwick.net.DatabaseReply;
 import crankwick.net.EventLoop;
-import crankwick.net.FrontMessage;
-import crankwick.net.FrontReply;
 import crankwick.net.Transport;
+import crankwick.routing.api.Role;
 import crankwick.statement.Statement;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -36,8 +36,8 @@
  * {@link GroupModel} says. A dead member's port refuses, a hung one's connections stay and say nothing. All
  * state changes on one loop.
  */
-public final class Emulation implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Emulation.class);
+public final class DatabaseEmulator implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(DatabaseEmulator.class);
     /** The end of a connection may be noticed after what its peer did next on another. */
     private static final long CROSSING = 250_000;
 
@@ -81,7 +81,7 @@
     }
 
     private final CodecFilter codec;
-    private final MemberList list;
+    private final EmulatedEndpointList list;
     private final ModelSettings figures = ModelSettings.SITE;
     private final Transport transport = new Transport();
     private final EventLoop loop = new EventLoop("emulate");
@@ -93,12 +93,12 @@
     /** Where each request's attempt is. */
     private final Map<String, Link> inFlight = new HashMap<>();
 
-    private final EmulationLedger ledger = new EmulationLedger();
+    private final ExecutionLog ledger = new ExecutionLog();
     private long refs;
     private int changesLeft;
 
     /** Emulates so many groups on a wire; {@code list} tells proxies of them. */
-    public Emulation(CodecFilter codec, int groups, long seed, MemberList list) throws IOException {
+    public DatabaseEmulator(CodecFilter codec, int groups, long seed, EmulatedEndpointList list) throws IOException {
         this.codec = codec;
         this.list = list;
         random = new SplittableRandom(seed);
@@ -195,14 +195,14 @@
 
     // ---- Connections ---------------------------------------------------------------------------------
 
-    private void onMessage(Link link, FrontMessage message) {
-        if (message instanceof FrontMessage.Login) {
+    private void onMessage(Link link, ClientMessage message) {
+        if (message instanceof ClientMessage.Login) {
             if (link.group.model.answers(link.member)) {
                 welcome(link);
             } else {
                 link.loginWaits = true;
             }
-        } else if (message instanceof FrontMessage.Query q) {
+        } else if (message instanceof ClientMessage.Query q) {
             onQuery(link, q.text());
         } else {
             link.connection.terminateSilently();
@@ -211,7 +211,7 @@
 
     private void welcome(Link link) {
         link.loginWaits = false;
-        link.connection.write(new FrontReply.Welcome());
+        link.connection.write(new ClientReply.Welcome());
     }
 
     private void onQuery(Link link, String text) {
@@ -224,7 +224,7 @@
         }
         try {
             Statement statement = Statement.parse(text);
-            link.write = statement.key() != null;
+            link.write = statement.idempotencyKey() != null;
             link.id = statement.id();
             Link earlier = inFlight.put(link.id, link);
             if (earlier != null) {
@@ -238,7 +238,10 @@
             tell(
                     link.group,
                     new ModelEvent.Query(
-                            link.ref, link.member, statement.key(), Math.max(0, statement.after() * 1_000)));
+                            link.ref,
+                            link.member,
+                            statement.idempotencyKey(),
+                            Math.max(0, statement.requiredPosition() * 1_000)));
         } catch (IllegalArgumentException e) {
             LOG.warn("a statement that no client sent: {}", text);
             byRef.remove(link.ref);
@@ -327,11 +330,11 @@
     }
 
     /** The list's lines for a group; roles change only where {@code primary} says so. */
-    private List<MemberList.Entry> entries(Group g, int primary) {
-        List<MemberList.Entry> all = new ArrayList<>();
+    private List<EmulatedEndpointList.Entry> entries(Group g, int primary) {
+        List<EmulatedEndpointList.Entry> all = new ArrayList<>();
         for (int m = 0; m < figures.members(); m++) {
             Role role = primary < 0 ? Role.UNKNOWN : m == primary ? Role.PRIMARY : Role.REPLICA;
-            all.add(new MemberList.Entry(
+            all.add(new EmulatedEndpointList.Entry(
                     "g" + g.id + "m" + m, g.ports[m], g.id, role, g.model.drains(m), g.model.startedAt(m) / 1_000));
         }
         return all;
@@ -348,7 +351,7 @@
     }
 
     /** What the databases have done so far. */
-    public EmulationLedger ledger() {
+    public ExecutionLog ledger() {
         return ledger;
     }
 
@@ -379,7 +382,7 @@
         @Override
         public NextAction handleRead(FilterChainContext context) {
             Connection<SocketAddress> connection = Transport.connection(context);
-            List<FrontMessage> messages = context.getMessage();
+            List<ClientMessage> messages = context.getMessage();
             loop.execute(() -> {
                 Link link = links.get(connection);
                 if (link != null) {
--- a/src/main/java/crankwick/emulate/MemberList.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpointList.java
@@ -1,10 +1,10 @@
-package crankwick.emulate;
+package crankwick.emulator;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.Role;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -19,7 +19,7 @@
 import java.util.concurrent.Executors;
 
 /** Tells proxies of the emulated databases: over HTTP as the platform's discovery, and as a zone's file. */
-public final class MemberList implements AutoCloseable {
+public final class EmulatedEndpointList implements AutoCloseable {
     private static final long WAIT_MOST = 60_000;
 
     /** A database's line; a role UNKNOWN leaves the one that was told before; the start in Unix ms. */
@@ -41,7 +41,7 @@
     private long version;
 
     /** Listens at a port of its own; {@code zoneFile} may be null for none. */
-    public MemberList(String zoneName, Path zoneFile) throws IOException {
+    public EmulatedEndpointList(String zoneName, Path zoneFile) throws IOException {
         this.zoneName = zoneName;
         this.zoneFile = zoneFile;
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
--- a/src/main/java/crankwick/emulate/EmulationLedger.java
+++ b/src/main/java/crankwick/emulator/ExecutionLog.java
@@ -1,4 +1,4 @@
-package crankwick.emulate;
+package crankwick.emulator;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** What emulated databases have done, for whoever compares it with what clients were told. */
-public final class EmulationLedger {
+public final class ExecutionLog {
     /**
      * A time without a primary, in Unix microseconds; Long.MAX_VALUE while it lasts. {@code cold}: who
      * ended it had started too lately to be warm, so that it could not be sent all that waited.
--- a/src/main/java/crankwick/handover/Handover.java
+++ b/src/main/java/crankwick/failover/FailoverCoordinator.java
@@ -1,18 +1,18 @@
-package crankwick.handover;
-
-import crankwick.RouterApi;
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Need;
-import crankwick.RouterApi.Repeat;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.RequestClass;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Scope;
-import crankwick.RouterApi.Settings;
-import crankwick.RouterApi.Standing;
-import crankwick.handover.Leadership.Phase;
+package crankwick.failover;
+
+import crankwick.failover.Leadership.Phase;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.ConsistencyLevel;
+import crankwick.routing.api.DeduplicationScope;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.Idempotency;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.RequestClass;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -22,56 +22,63 @@
 /**
  * Changes of primaries, for one proxy: who leads each group, which requests wait outside the router until
  * somebody does, and which keys may have run. It has no input, output or clock; the broker tells it what
- * happens and carries out what it decides through {@link Decisions}.
+ * happens and carries out what it decides through {@link FailoverActions}.
  *
  * <p>A request is held either here or by the router, never by both: here from {@link #admit} to
- * {@link Decisions#release}, there afterwards. While a group is vacant one request at a time is let through,
+ * {@link FailoverActions#release}, there afterwards. While a group is vacant one request at a time is let through,
  * so that the router seeks the new primary; it decides whom to ask and whether to try again.
  */
-public final class Handover {
+public final class FailoverCoordinator {
     /** What the broker carries out; each call is final for the moment it is made at. */
-    public interface Decisions {
+    public interface FailoverActions {
         /** The router is to have a request that was held. */
         void release(long ref);
 
         /** A held request's final answer: refused; {@code retryAfter} in microseconds. */
-        void refuse(long ref, long retryAfter);
+        void reject(long ref, long retryAfter);
 
         /** A request's final answer: failed, because its key may have run and its window is over. */
-        void failDoubtful(long ref);
+        void failUnknownOutcome(long ref);
 
         /** An attempt out at a primary that was overtaken is not waited for any more. */
-        void withdraw(long ref);
+        void cancelAttempt(long ref);
 
         /** {@link #onDue} wants to be called in so many microseconds. */
-        void arm(long fromNow);
+        void scheduleTimer(long fromNow);
 
         /** A line for the operators. */
         void log(String line);
     }
 
     /** What becomes of an attempt: it goes out, or its key's window is over, or no key more is remembered. */
-    public enum Going {
-        GO,
-        WINDOW_OVER,
-        NO_ROOM
+    public enum AttemptPermit {
+        GRANTED,
+        KEY_EXPIRED,
+        REGISTRY_FULL
     }
 
     /** What becomes of a request that has come in. */
     public enum Admission {
-        PASS,
-        HOLD,
-        REFUSE,
+        ADMIT,
+        BUFFER,
+        REJECT,
         FAIL
     }
 
     /**
      * A request as it comes in; times in microseconds.
      *
-     * @param key its idempotency key; null for none
-     * @param bytes the length of its statement
+     * @param idempotencyKey its idempotency key; null for none
+     * @param statementBytes the length of its statement
      */
-    public record Arrival(long ref, long group, String team, int cls, String key, int bytes, long expires) {}
+    public record ArrivingRequest(
+            long requestId,
+            long groupId,
+            String team,
+            int classIndex,
+            String idempotencyKey,
+            int statementBytes,
+            long expiresAt) {}
 
     /** Final answers come this long before the caller leaves. */
     private static final long MARGIN = 30_000;
@@ -85,7 +92,7 @@
 
     /** A request that needs the primary, from its coming in until it is answered and nothing is out. */
     private static final class Tracked {
-        final Arrival arrival;
+        final ArrivingRequest arrival;
         final RequestClass kind;
         final GroupState group;
         final long hash;
@@ -102,7 +109,7 @@
 
         boolean answered;
 
-        Tracked(Arrival arrival, RequestClass kind, GroupState group, long hash, long useful) {
+        Tracked(ArrivingRequest arrival, RequestClass kind, GroupState group, long hash, long useful) {
             this.arrival = arrival;
             this.kind = kind;
             this.group = group;
@@ -111,87 +118,87 @@
         }
 
         boolean isKeyed() {
-            return kind.repeat() == Repeat.KEYED && arrival.key() != null;
+            return kind.idempotency() == Idempotency.WITH_KEY && arrival.idempotencyKey() != null;
         }
     }
 
     private static final class GroupState {
         final long id;
         final Leadership leadership = new Leadership();
-        final HoldQueue queue;
+        final RequestBuffer queue;
         final Map<Long, Tracked> passed = new LinkedHashMap<>();
-        final ChangeTimes planned;
-        final ChangeTimes unplanned;
+        final FailoverDurations planned;
+        final FailoverDurations unplanned;
         int members;
         long termSeen;
         double window;
         int inWindow;
 
-        GroupState(long id, HandoverSettings settings, Map<String, HoldQueue.Share> shares) {
+        GroupState(long id, FailoverSettings settings, Map<String, RequestBuffer.TeamUsage> shares) {
             this.id = id;
-            queue = new HoldQueue(settings, shares);
-            planned = new ChangeTimes(settings.plannedLeast(), settings.plannedMost());
-            unplanned = new ChangeTimes(settings.unplannedLeast(), settings.unplannedMost());
+            queue = new RequestBuffer(settings, shares);
+            planned = new FailoverDurations(settings.plannedMin(), settings.plannedMax());
+            unplanned = new FailoverDurations(settings.unplannedMin(), settings.unplannedMax());
         }
 
-        ChangeTimes times() {
+        FailoverDurations times() {
             return leadership.planned() ? planned : unplanned;
         }
     }
 
-    private final HandoverSettings settings;
-    private final Settings site;
+    private final FailoverSettings settings;
+    private final RoutingSettings site;
     private final KeyRegistry keys;
     private final Map<Long, GroupState> groups = new LinkedHashMap<>();
     private final Map<String, GroupState> ofServer = new HashMap<>();
     private final Map<Long, Tracked> tracked = new HashMap<>();
-    private final Map<String, HoldQueue.Share> shares = new HashMap<>();
-    private final HandoverCounters counters = new HandoverCounters();
+    private final Map<String, RequestBuffer.TeamUsage> shares = new HashMap<>();
+    private final FailoverCounters counters = new FailoverCounters();
     private boolean armed;
     private int held;
 
     /** Holds and remembers as {@code settings} say; {@code seed} scatters the keys' names. */
-    public Handover(HandoverSettings settings, Settings site, long seed) {
+    public FailoverCoordinator(FailoverSettings settings, RoutingSettings site, long seed) {
         this.settings = settings;
         this.site = site;
-        keys = new KeyRegistry(settings.keys(), seed);
+        keys = new KeyRegistry(settings.maxKeys(), seed);
     }
 
     // ---- Evidence ------------------------------------------------------------------------------------
 
     /** The list as it may be believed: a late entry does not name a primary that was overtaken. */
-    public List<Member> listed(ListKind kind, List<Member> members, long now) {
-        List<Member> believed = new ArrayList<>(members.size());
-        if (kind == ListKind.FULL) {
+    public List<Endpoint> listed(EndpointUpdateKind kind, List<Endpoint> members, long now) {
+        List<Endpoint> believed = new ArrayList<>(members.size());
+        if (kind == EndpointUpdateKind.FULL) {
             Map<String, GroupState> before = new HashMap<>(ofServer);
-            members.forEach(m -> before.remove(m.server()));
+            members.forEach(m -> before.remove(m.id()));
             before.forEach((server, group) -> withdrawn(server, group, true, now));
         }
-        for (Member m : members) {
-            GroupState g = ofServer.get(m.server());
-            if (g == null && m.standing() != Standing.GONE) {
-                g = groups.computeIfAbsent(m.group(), id -> new GroupState(id, settings, shares));
+        for (Endpoint m : members) {
+            GroupState g = ofServer.get(m.id());
+            if (g == null && m.status() != EndpointStatus.REMOVED) {
+                g = groups.computeIfAbsent(m.groupId(), id -> new GroupState(id, settings, shares));
                 g.members++;
-                ofServer.put(m.server(), g);
+                ofServer.put(m.id(), g);
             }
             if (g == null) {
                 believed.add(m);
                 continue;
             }
-            if (m.standing() == Standing.LIVE) {
-                g.leadership.take(new Evidence.Listed(m.server()), now);
+            if (m.status() == EndpointStatus.LIVE) {
+                g.leadership.take(new LeadershipEvidence.ListedAsUp(m.id()), now);
             } else {
-                withdrawn(m.server(), g, m.standing() == Standing.GONE, now);
+                withdrawn(m.id(), g, m.status() == EndpointStatus.REMOVED, now);
             }
             boolean late = m.role() == Role.PRIMARY && g.leadership.leader() != null;
             believed.add(
-                    late ? new Member(m.server(), m.zone(), m.group(), Role.UNKNOWN, m.standing(), m.startedAt()) : m);
+                    late ? new Endpoint(m.id(), m.zone(), m.groupId(), Role.UNKNOWN, m.status(), m.startedAt()) : m);
         }
         return believed;
     }
 
     private void withdrawn(String server, GroupState g, boolean gone, long now) {
-        g.leadership.take(new Evidence.Withdrawn(server), now);
+        g.leadership.take(new LeadershipEvidence.Delisted(server), now);
         if (gone && ofServer.remove(server) != null) {
             g.leadership.forget(server);
             g.members--;
@@ -210,26 +217,27 @@
      * The role that may be believed of an attempt; UNKNOWN for a claim or denial that is overtaken. What
      * an answer tells is dated by the sending of its attempt: it may have been long on its way.
      */
-    public Role heard(String server, boolean write, long sentAt, Result result, Role role, long position, long now) {
+    public Role heard(
+            String server, boolean write, long sentAt, AttemptResult result, Role role, long position, long now) {
         GroupState g = ofServer.get(server);
         if (g == null) {
             return role;
         }
-        if (result == Result.MISS && write) {
-            g.leadership.take(new Evidence.WriteMissed(server, sentAt), now);
-        } else if (result == Result.UNREACHABLE) {
+        if (result == AttemptResult.INELIGIBLE_REPLICA && write) {
+            g.leadership.take(new LeadershipEvidence.WriteRejected(server, sentAt), now);
+        } else if (result == AttemptResult.UNREACHABLE) {
             unreachable(g, server, sentAt, now);
-        } else if (result == Result.RESET || result == Result.DROPPED) {
-            g.leadership.take(new Evidence.Broke(server), now);
+        } else if (result == AttemptResult.RESET || result == AttemptResult.CONNECTION_LOST_BEFORE_SEND) {
+            g.leadership.take(new LeadershipEvidence.ConnectionLost(server), now);
         }
         if (role == Role.UNKNOWN) {
             return role;
         }
-        Evidence.Told told = new Evidence.Told(server, role, position, sentAt);
+        LeadershipEvidence.RoleReported told = new LeadershipEvidence.RoleReported(server, role, position, sentAt);
         if (!g.leadership.take(told, now)) {
             return Role.UNKNOWN;
         }
-        if (write && result == Result.OK) {
+        if (write && result == AttemptResult.OK) {
             g.leadership.served(told, now);
         }
         return role;
@@ -237,52 +245,58 @@
 
     private void unreachable(GroupState g, String server, long askedAt, long now) {
         boolean atOnce = now - askedAt < site.limits().connectTimeout() * 0.8;
-        g.leadership.take(atOnce ? new Evidence.Refused(server) : new Evidence.Silent(server, askedAt), now);
+        g.leadership.take(
+                atOnce
+                        ? new LeadershipEvidence.ConnectionRefused(server)
+                        : new LeadershipEvidence.Unresponsive(server, askedAt),
+                now);
     }
 
     /** The report that may be believed of a probe's answer; with the role unknown where that is overtaken. */
-    public Report probed(String server, Result result, long duration, Report report, long now) {
+    public LoadReport probed(String server, AttemptResult result, long duration, LoadReport report, long now) {
         GroupState g = ofServer.get(server);
         if (g == null) {
             return report;
         }
-        if (result == Result.UNREACHABLE) {
+        if (result == AttemptResult.UNREACHABLE) {
             unreachable(g, server, now - duration, now);
-        } else if (result == Result.TIMEOUT) {
-            g.leadership.take(new Evidence.Silent(server, now - duration), now);
+        } else if (result == AttemptResult.TIMEOUT) {
+            g.leadership.take(new LeadershipEvidence.Unresponsive(server, now - duration), now);
         }
         return believed(g, server, report, now);
     }
 
     /** A report is dated by its position: a primary's is the present, a replica's lies before it. */
-    public Report believed(String server, Report report, long now) {
+    public LoadReport believed(String server, LoadReport report, long now) {
         GroupState g = ofServer.get(server);
         return g == null ? report : believed(g, server, report, now);
     }
 
-    private Report believed(GroupState g, String server, Report r, long now) {
+    private LoadReport believed(GroupState g, String server, LoadReport r, long now) {
         if (r == null
                 || r.role() == Role.UNKNOWN
-                || r.position() == RouterApi.NONE
-                || g.leadership.take(new Evidence.Told(server, r.role(), r.position(), r.position()), now)) {
+                || r.position() == AbsentValue.NONE
+                || g.leadership.take(
+                        new LeadershipEvidence.RoleReported(server, r.role(), r.position(), r.position()), now)) {
             return r;
         }
-        return new Report(r.position(), Role.UNKNOWN, r.backlog(), r.utilization(), r.inFlight());
+        return new LoadReport(r.position(), Role.UNKNOWN, r.queueLength(), r.utilization(), r.inFlight());
     }
 
     // ---- Requests ------------------------------------------------------------------------------------
 
     /** Decides on a request that has come in; the answer of one that is not taken is the caller's to give. */
-    public Admission admit(Arrival a, long now) {
-        RequestClass kind = site.classes().get(a.cls());
-        GroupState g = groups.get(a.group());
-        if (g == null || kind.need() != Need.WRITE && kind.need() != Need.FRESH) {
-            return Admission.PASS;
-        }
-        long last = a.expires() - MARGIN;
-        long useful = kind.lateWorth() > 0 ? last : Math.min(last, now + kind.aim());
-        boolean keyed = kind.repeat() == Repeat.KEYED && a.key() != null;
-        long hash = keyed ? keys.hash(a.group(), a.key()) : 0;
+    public Admission admit(ArrivingRequest a, long now) {
+        RequestClass kind = site.requestClasses().get(a.classIndex());
+        GroupState g = groups.get(a.groupId());
+        if (g == null
+                || kind.consistency() != ConsistencyLevel.WRITE && kind.consistency() != ConsistencyLevel.STRONG) {
+            return Admission.ADMIT;
+        }
+        long last = a.expiresAt() - MARGIN;
+        long useful = kind.lateWeight() > 0 ? last : Math.min(last, now + kind.latencyObjective());
+        boolean keyed = kind.idempotency() == Idempotency.WITH_KEY && a.idempotencyKey() != null;
+        long hash = keyed ? keys.hash(a.groupId(), a.idempotencyKey()) : 0;
         Tracked t = new Tracked(a, kind, g, hash, useful);
         if (keyed) {
             t.ranSince = keys.ranSince(hash, now);
@@ -291,35 +305,37 @@
                 return Admission.FAIL;
             }
         }
-        boolean vacant = g.leadership.phase() == Phase.VACANT;
+        boolean vacant = g.leadership.phase() == Phase.LEADERLESS;
         boolean wait = vacant ? !g.passed.isEmpty() : g.queue.size() > 0;
         if (vacant && !hopeful(t, now)) {
             counters.hopeless++;
-            return isDoubtful(t) ? Admission.FAIL : Admission.REFUSE;
+            return isDoubtful(t) ? Admission.FAIL : Admission.REJECT;
         }
-        if (wait && !g.queue.add(new HoldQueue.Held(a.ref(), a.team(), kind.worth(), useful, a.bytes()))) {
+        if (wait
+                && !g.queue.add(new RequestBuffer.BufferedRequest(
+                        a.requestId(), a.team(), kind.priorityWeight(), useful, a.statementBytes()))) {
             counters.overBounds++;
-            return isDoubtful(t) ? Admission.FAIL : Admission.REFUSE;
+            return isDoubtful(t) ? Admission.FAIL : Admission.REJECT;
         }
-        tracked.put(a.ref(), t);
+        tracked.put(a.requestId(), t);
         if (wait) {
             t.held = true;
             counters.held++;
             counters.heldMax = Math.max(counters.heldMax, ++held);
-            return Admission.HOLD;
+            return Admission.BUFFER;
         }
-        g.passed.put(a.ref(), t);
-        return Admission.PASS;
+        g.passed.put(a.requestId(), t);
+        return Admission.ADMIT;
     }
 
     /** When a request that is refused for a vacant group should come again, in microseconds. */
-    public long retryAfter(long groupId, int cls, long now) {
+    public long retryAfter(long groupId, int classIndex, long now) {
         GroupState g = groups.get(groupId);
-        if (g == null || !site.limits().retryAfter()) {
+        if (g == null || !site.limits().retryAfterSupported()) {
             return 0;
         }
         long remaining = g.times().remaining(now - g.leadership.vacantSince());
-        long wait = remaining - site.classes().get(cls).aim() / 2;
+        long wait = remaining - site.requestClasses().get(classIndex).latencyObjective() / 2;
         return Math.min(site.limits().maxRetryAfter(), Math.max(RETRY_LEAST, wait));
     }
 
@@ -330,7 +346,7 @@
     }
 
     private static boolean isDoubtful(Tracked t) {
-        return t.ranSince != Long.MAX_VALUE && t.kind.scope() != Scope.ALL;
+        return t.ranSince != Long.MAX_VALUE && t.kind.deduplicationScope() != DeduplicationScope.FLEET;
     }
 
     private boolean isOver(Tracked t, long now) {
@@ -338,37 +354,37 @@
     }
 
     /** An attempt is about to go out: only if this says GO, it may, and then it counts as sent now. */
-    public Going send(long ref, String server, long now) {
+    public AttemptPermit send(long ref, String server, long now) {
         Tracked t = tracked.get(ref);
         if (t == null) {
-            return Going.GO;
+            return AttemptPermit.GRANTED;
         }
         if (isOver(t, now)) {
             counters.windowsOver++;
-            return Going.WINDOW_OVER;
+            return AttemptPermit.KEY_EXPIRED;
         }
         t.datesKey = t.isKeyed() && keys.ranSince(t.hash, now) == Long.MAX_VALUE;
-        if (t.isKeyed() && !keys.sent(t.hash, now, t.kind.keyTtl() + settings.keyMemory())) {
+        if (t.isKeyed() && !keys.sent(t.hash, now, t.kind.keyTtl() + settings.keyRetention())) {
             counters.overBounds++;
-            return Going.NO_ROOM;
+            return AttemptPermit.REGISTRY_FULL;
         }
         t.server = server;
         t.sentAt = now;
-        return Going.GO;
+        return AttemptPermit.GRANTED;
     }
 
     /** An attempt has ended. */
-    public void ended(long ref, Result result, long duration, long now) {
+    public void ended(long ref, AttemptResult result, long duration, long now) {
         Tracked t = tracked.get(ref);
         if (t == null || t.server == null) {
             return;
         }
         if (t.isKeyed()) {
-            keys.ended(t.hash, result == Result.OK, result.provesNotRun() && t.datesKey);
+            keys.ended(t.hash, result == AttemptResult.OK, result.provesNotExecuted() && t.datesKey);
             t.ranSince = keys.ranSince(t.hash, now);
         }
         GroupState g = t.group;
-        boolean late = result == Result.FULL || duration > LATE_SHARE * t.kind.aim();
+        boolean late = result == AttemptResult.REJECTED_OVERLOADED || duration > LATE_SHARE * t.kind.latencyObjective();
         if (t.paced == g.leadership.term()) {
             g.window = late ? Math.max(1, g.window * WINDOW_CUT) : g.window + 1;
         }
@@ -390,8 +406,8 @@
 
     private void forget(Tracked t) {
         if (t.answered && t.server == null) {
-            tracked.remove(t.arrival.ref());
-            if (t.group.passed.remove(t.arrival.ref()) != null && t.paced == t.group.leadership.term()) {
+            tracked.remove(t.arrival.requestId());
+            if (t.group.passed.remove(t.arrival.requestId()) != null && t.paced == t.group.leadership.term()) {
                 t.group.inWindow--;
             }
             forget(t.group);
@@ -399,7 +415,7 @@
     }
 
     private void unhold(Tracked t) {
-        t.group.queue.remove(t.arrival.ref());
+        t.group.queue.remove(t.arrival.requestId());
         t.held = false;
         held--;
     }
@@ -409,13 +425,14 @@
         long until = t.ranSince == Long.MAX_VALUE
                 ? t.useful
                 : Math.min(t.useful, t.ranSince + t.kind.keyTtl() - settings.keyMargin());
-        return g.times().hope(now - g.leadership.vacantSince(), until - now) >= settings.hopeLeast();
+        return g.times().successProbability(now - g.leadership.vacantSince(), until - now)
+                >= settings.minSuccessProbability();
     }
 
     // ---- Decisions -----------------------------------------------------------------------------------
 
     /** After each event: what follows for the group of a server or a request. */
-    public void decide(long groupId, long now, Decisions decisions) {
+    public void decide(long groupId, long now, FailoverActions decisions) {
         GroupState g = groups.get(groupId);
         if (g != null) {
             decide(g, now, decisions);
@@ -425,24 +442,24 @@
     /** The group of a server, or NONE. */
     public long groupOf(String server) {
         GroupState g = ofServer.get(server);
-        return g == null ? RouterApi.NONE : g.id;
+        return g == null ? AbsentValue.NONE : g.id;
     }
 
     /** The time that was armed has come. */
-    public void onDue(long now, Decisions decisions) {
+    public void onDue(long now, FailoverActions decisions) {
         armed = false;
         decideAll(now, decisions);
     }
 
     /** After news of many groups. */
-    public void decideAll(long now, Decisions decisions) {
+    public void decideAll(long now, FailoverActions decisions) {
         for (GroupState g : List.copyOf(groups.values())) {
             decide(g, now, decisions);
         }
     }
 
-    private void decide(GroupState g, long now, Decisions decisions) {
-        boolean vacant = g.leadership.phase() == Phase.VACANT;
+    private void decide(GroupState g, long now, FailoverActions decisions) {
+        boolean vacant = g.leadership.phase() == Phase.LEADERLESS;
         if (g.leadership.term() != g.termSeen) {
             begin(g, now, decisions);
         }
@@ -452,17 +469,17 @@
         letGo(g, vacant, now, decisions);
         if (!armed && (vacant || g.queue.size() > 0) && g.queue.size() + g.passed.size() > 0) {
             armed = true;
-            decisions.arm(LOOK_EVERY);
+            decisions.scheduleTimer(LOOK_EVERY);
         }
     }
 
     /** A new term: how long the change took is learned, and what is out at the old primary comes back. */
-    private void begin(GroupState g, long now, Decisions decisions) {
+    private void begin(GroupState g, long now, FailoverActions decisions) {
         Leadership l = g.leadership;
         boolean first = g.termSeen == 0;
         boolean planned = !first && l.planned();
         g.termSeen = l.term();
-        g.window = settings.startWindow();
+        g.window = settings.initialWindow();
         g.inWindow = 0;
         if (!first) {
             long took = now - l.vacantSince();
@@ -474,14 +491,14 @@
         for (Tracked t : List.copyOf(g.passed.values())) {
             if (t.server != null && !t.server.equals(l.leader()) && !planned) {
                 counters.withdrawn++;
-                decisions.withdraw(t.arrival.ref());
+                decisions.cancelAttempt(t.arrival.requestId());
             }
         }
     }
 
     /** While the group is vacant, who can't be served in time any more is told so at once. */
-    private void dropHopeless(GroupState g, long now, Decisions decisions) {
-        for (HoldQueue.Held h : g.queue.all()) {
+    private void dropHopeless(GroupState g, long now, FailoverActions decisions) {
+        for (RequestBuffer.BufferedRequest h : g.queue.all()) {
             Tracked t = tracked.get(h.ref());
             if (!hopeful(t, now)) {
                 counters.hopeless++;
@@ -491,23 +508,23 @@
         for (Tracked t : List.copyOf(g.passed.values())) {
             if (!t.answered && t.server == null && t.ranSince != Long.MAX_VALUE && !hopeful(t, now)) {
                 counters.windowsOver++;
-                decisions.failDoubtful(t.arrival.ref());
+                decisions.failUnknownOutcome(t.arrival.requestId());
             }
         }
     }
 
-    private void give(Tracked t, long now, Decisions decisions) {
+    private void give(Tracked t, long now, FailoverActions decisions) {
         if (!isDoubtful(t)) {
-            decisions.refuse(t.arrival.ref(), retryAfter(t.group.id, t.arrival.cls(), now));
+            decisions.reject(t.arrival.requestId(), retryAfter(t.group.id, t.arrival.classIndex(), now));
         } else {
-            decisions.failDoubtful(t.arrival.ref());
+            decisions.failUnknownOutcome(t.arrival.requestId());
         }
     }
 
     /** To a vacant group one seeker; to a led one as many as the window has room for. */
-    private void letGo(GroupState g, boolean vacant, long now, Decisions decisions) {
+    private void letGo(GroupState g, boolean vacant, long now, FailoverActions decisions) {
         while (g.queue.size() > 0 && (vacant ? g.passed.isEmpty() : g.inWindow < g.window)) {
-            HoldQueue.Held next = g.queue.first();
+            RequestBuffer.BufferedRequest next = g.queue.first();
             Tracked t = tracked.get(next.ref());
             if (now >= t.useful || isOver(t, now)) {
                 give(t, now, decisions);
@@ -543,7 +560,7 @@
     }
 
     /** What has been counted so far. */
-    public HandoverCounters counters() {
+    public FailoverCounters counters() {
         return counters;
     }
 }
--- a/src/main/java/crankwick/handover/HandoverCounters.java
+++ b/src/main/java/crankwick/failover/FailoverCounters.java
@@ -1,7 +1,7 @@
-package crankwick.handover;
+package crankwick.failover;
 
 /** What changes of primaries have cost since the start. */
-public final class HandoverCounters {
+public final class FailoverCounters {
     long changes;
     long held;
     int heldMax;
--- a/src/main/java/crankwick/handover/ChangeTimes.java
+++ b/src/main/java/crankwick/failover/FailoverDurations.java
@@ -1,4 +1,4 @@
-package crankwick.handover;
+package crankwick.failover;
 
 import java.util.Arrays;
 
@@ -6,7 +6,7 @@
  * How long a group's changes of one kind take: the last {@value #KEPT} seen, and a prior that counts as
  * {@value #PRIOR} of them, spread evenly over what the settings expect. Durations in microseconds.
  */
-final class ChangeTimes {
+final class FailoverDurations {
     private static final int KEPT = 64;
     private static final int PRIOR = 16;
     /** Each duration stands for all that are so near: few samples must not leave holes between them. */
@@ -15,7 +15,7 @@
     private final long[] samples = new long[PRIOR + KEPT];
     private long seen;
 
-    ChangeTimes(long least, long most) {
+    FailoverDurations(long least, long most) {
         for (int i = 0; i < PRIOR; i++) {
             samples[i] = least + (most - least) * i / (PRIOR - 1);
         }
@@ -34,7 +34,7 @@
      * The chance that a change which has lasted for {@code age} ends within {@code left} more. One that has
      * outlasted all that were seen is taken to go on about as long as it has lasted (Gott's estimate).
      */
-    double hope(long age, long left) {
+    double successProbability(long age, long left) {
         if (left <= 0) {
             return 0;
         }
--- a/src/main/java/crankwick/handover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -1,4 +1,4 @@
-package crankwick.handover;
+package crankwick.failover;
 
 import java.util.Arrays;
 
--- a/src/main/java/crankwick/handover/Leadership.java
+++ b/src/main/java/crankwick/failover/Leadership.java
@@ -1,7 +1,7 @@
-package crankwick.handover;
+package crankwick.failover;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.Role;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -9,10 +9,10 @@
 
 /**
  * Who leads one group, as this proxy believes it, in numbered terms. A term begins with a believed claim and
- * is moved by evidence only; each {@link Move} keeps its own. The number is this proxy's, not the group's: no
- * message carries one, so claims are dated by when they can have been said, and fenced by the positions that
- * the believed leaders have told: whoever really leads has all of what was acknowledged before (as a fencing
- * token; Gray and Cheriton, "Leases", 1989).
+ * changes by evidence only; each {@link PhaseTransition} records its own. The number is this proxy's, not the
+ * group's: no message carries one, so claims are dated by when they can have been made, and fenced by the
+ * positions that the believed leaders have reported: whoever really leads has all that was acknowledged before
+ * (as a fencing token; Gray and Cheriton, "Leases", 1989).
  */
 public final class Leadership {
     /** A group's standing; only VACANT holds requests back. */
@@ -24,13 +24,13 @@
         /** A sign against the leader, such as a broken connection; work goes on. */
         DOUBTED,
         /** The leader is down, silent, withdrawn, or denies it. */
-        VACANT,
+        LEADERLESS,
         /** A leader has claimed the role and has not served a write yet. */
         TAKING_OVER
     }
 
     /** A move of the phase or the leader, and what moved it. */
-    public record Move(long at, Phase from, Phase to, String leader, long term, Evidence why) {}
+    public record PhaseTransition(long at, Phase from, Phase to, String leader, long term, LeadershipEvidence why) {}
 
     /** A present leader heard so lately is not given up for one who led before. */
     private static final long HEARD_LATELY = 500_000;
@@ -42,7 +42,7 @@
     private static final int MOVES_KEPT = 32;
 
     private final Map<String, Long> overtaken = new HashMap<>();
-    private final ArrayDeque<Move> moves = new ArrayDeque<>();
+    private final ArrayDeque<PhaseTransition> moves = new ArrayDeque<>();
     private Phase phase = Phase.UNKNOWN;
     private String leader;
     private boolean withdrawn;
@@ -55,36 +55,36 @@
     private long fence = Long.MIN_VALUE / 2;
 
     /** Takes a piece of evidence; false if it is a claim or denial that is not believed. */
-    boolean take(Evidence evidence, long now) {
-        if (evidence instanceof Evidence.Told e) {
+    boolean take(LeadershipEvidence evidence, long now) {
+        if (evidence instanceof LeadershipEvidence.RoleReported e) {
             return e.role() == Role.PRIMARY ? onClaim(e, now) : onDenial(e, e.asOf(), now);
         }
-        if (evidence instanceof Evidence.WriteMissed e) {
+        if (evidence instanceof LeadershipEvidence.WriteRejected e) {
             return onDenial(e, e.asOf(), now);
         }
-        if (!evidence.server().equals(leader)) {
+        if (!evidence.endpointId().equals(leader)) {
             return true;
         }
-        if (evidence instanceof Evidence.Refused) {
+        if (evidence instanceof LeadershipEvidence.ConnectionRefused) {
             vacate(evidence, now, now, false);
-        } else if (evidence instanceof Evidence.Broke) {
+        } else if (evidence instanceof LeadershipEvidence.ConnectionLost) {
             doubt(evidence, now, now);
-        } else if (evidence instanceof Evidence.Silent e) {
+        } else if (evidence instanceof LeadershipEvidence.Unresponsive e) {
             onSilence(e, now);
-        } else if (evidence instanceof Evidence.Withdrawn) {
+        } else if (evidence instanceof LeadershipEvidence.Delisted) {
             withdrawn = true;
             vacate(evidence, now, now, true);
-        } else if (evidence instanceof Evidence.Listed) {
+        } else if (evidence instanceof LeadershipEvidence.ListedAsUp) {
             withdrawn = false;
         }
         return true;
     }
 
-    private boolean onClaim(Evidence.Told claim, long now) {
-        boolean behind = claim.position() != RouterApi.NONE
+    private boolean onClaim(LeadershipEvidence.RoleReported claim, long now) {
+        boolean behind = claim.position() != AbsentValue.NONE
                 && (claim.position() < fence - ROUNDING || claim.position() < now - CLAIM_AGE);
-        if (claim.server().equals(leader)) {
-            boolean stale = phase == Phase.VACANT && (behind || claim.asOf() <= vacantSince);
+        if (claim.endpointId().equals(leader)) {
+            boolean stale = phase == Phase.LEADERLESS && (behind || claim.asOf() <= vacantSince);
             if (!withdrawn && !stale) {
                 heard(claim, now);
             }
@@ -93,13 +93,13 @@
         boolean led = phase == Phase.LED || phase == Phase.TAKING_OVER || phase == Phase.DOUBTED;
         boolean older = claim.asOf() < claimedAsOf;
         boolean present = led && now - heardAt < HEARD_LATELY;
-        boolean returned = overtaken.containsKey(claim.server());
+        boolean returned = overtaken.containsKey(claim.endpointId());
         if (behind
                 || older
                 || returned
                         && (present
-                                || claim.asOf() <= overtaken.get(claim.server())
-                                || claim.position() == RouterApi.NONE && led)) {
+                                || claim.asOf() <= overtaken.get(claim.endpointId())
+                                || claim.position() == AbsentValue.NONE && led)) {
             return false;
         }
         begin(claim, now);
@@ -107,23 +107,23 @@
     }
 
     /** The leader speaks as such: a doubt that is older than what it says is over. */
-    private void heard(Evidence.Told claim, long now) {
+    private void heard(LeadershipEvidence.RoleReported claim, long now) {
         claimedAsOf = Math.max(claimedAsOf, claim.asOf());
         heardAt = now;
         fence = Math.max(fence, claim.position());
-        if (phase == Phase.VACANT) {
+        if (phase == Phase.LEADERLESS) {
             move(Phase.TAKING_OVER, claim, now);
         } else if (phase == Phase.DOUBTED && claim.asOf() > doubtedAt) {
             move(Phase.LED, claim, now);
         }
     }
 
-    private void begin(Evidence.Told claim, long now) {
+    private void begin(LeadershipEvidence.RoleReported claim, long now) {
         if (leader != null) {
             overtaken.put(leader, claim.asOf());
         }
-        overtaken.remove(claim.server());
-        leader = claim.server();
+        overtaken.remove(claim.endpointId());
+        leader = claim.endpointId();
         withdrawn = false;
         term++;
         claimedAsOf = claim.asOf();
@@ -133,8 +133,8 @@
     }
 
     /** The leader says that it does not lead; what it said before its last claim is no news. */
-    private boolean onDenial(Evidence denial, long asOf, long now) {
-        if (!denial.server().equals(leader)) {
+    private boolean onDenial(LeadershipEvidence denial, long asOf, long now) {
+        if (!denial.endpointId().equals(leader)) {
             return true;
         }
         if (asOf <= claimedAsOf) {
@@ -144,7 +144,7 @@
         return true;
     }
 
-    private void onSilence(Evidence.Silent silence, long now) {
+    private void onSilence(LeadershipEvidence.Unresponsive silence, long now) {
         if (heardAt >= silence.asOf()) {
             return;
         }
@@ -155,30 +155,30 @@
         }
     }
 
-    private void doubt(Evidence why, long since, long now) {
+    private void doubt(LeadershipEvidence why, long since, long now) {
         if (phase == Phase.LED || phase == Phase.TAKING_OVER) {
             doubtedAt = since;
             move(Phase.DOUBTED, why, now);
         }
     }
 
-    private void vacate(Evidence why, long since, long now, boolean byPlan) {
-        if (phase != Phase.VACANT) {
+    private void vacate(LeadershipEvidence why, long since, long now, boolean byPlan) {
+        if (phase != Phase.LEADERLESS) {
             planned = byPlan;
             vacantSince = since;
-            move(Phase.VACANT, why, now);
+            move(Phase.LEADERLESS, why, now);
         }
     }
 
     /** The leader has served a write: the change is over. */
-    void served(Evidence why, long now) {
-        if (phase == Phase.TAKING_OVER && why.server().equals(leader)) {
+    void served(LeadershipEvidence why, long now) {
+        if (phase == Phase.TAKING_OVER && why.endpointId().equals(leader)) {
             move(Phase.LED, why, now);
         }
     }
 
-    private void move(Phase to, Evidence why, long now) {
-        moves.add(new Move(now, phase, to, leader, term, why));
+    private void move(Phase to, LeadershipEvidence why, long now) {
+        moves.add(new PhaseTransition(now, phase, to, leader, term, why));
         if (moves.size() > MOVES_KEPT) {
             moves.remove();
         }
@@ -216,7 +216,7 @@
     }
 
     /** The last moves, the oldest first, with the evidence for each. */
-    public List<Move> moves() {
+    public List<PhaseTransition> moves() {
         return List.copyOf(moves);
     }
 }
--- a/src/main/java/crankwick/handover/Evidence.java
+++ b/src/main/java/crankwick/failover/LeadershipEvidence.java
@@ -1,33 +1,33 @@
-package crankwick.handover;
+package crankwick.failover;
 
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.Role;
 
 /**
  * What speaks for or against a server's leading its group. {@code asOf} is the earliest time (microseconds)
  * at which the server can have been so: what is read late must not pass for news.
  */
-public sealed interface Evidence {
+public sealed interface LeadershipEvidence {
     /** Whom it is about. */
-    String server();
+    String endpointId();
 
     /** An answer or a report told a role; {@code position} NONE where it told none. */
-    record Told(String server, Role role, long position, long asOf) implements Evidence {}
+    record RoleReported(String endpointId, Role role, long position, long asOf) implements LeadershipEvidence {}
 
     /** A write was turned away because this is no primary. */
-    record WriteMissed(String server, long asOf) implements Evidence {}
+    record WriteRejected(String endpointId, long asOf) implements LeadershipEvidence {}
 
     /** A connection was refused at once: the process is down. */
-    record Refused(String server) implements Evidence {}
+    record ConnectionRefused(String endpointId) implements LeadershipEvidence {}
 
     /** A connection broke under work. */
-    record Broke(String server) implements Evidence {}
+    record ConnectionLost(String endpointId) implements LeadershipEvidence {}
 
     /** Asked at {@code asOf}, and not heard in time. */
-    record Silent(String server, long asOf) implements Evidence {}
+    record Unresponsive(String endpointId, long asOf) implements LeadershipEvidence {}
 
     /** The list says that it drains or is gone. */
-    record Withdrawn(String server) implements Evidence {}
+    record Delisted(String endpointId) implements LeadershipEvidence {}
 
     /** The list says that it is up; of a withdrawn one, that it may lead again once it says so itself. */
-    record Listed(String server) implements Evidence {}
+    record ListedAsUp(String endpointId) implements LeadershipEvidence {}
 }
--- a/src/main/java/crankwick/handover/HoldQueue.java
+++ b/src/main/java/crankwick/failover/RequestBuffer.java
@@ -1,4 +1,4 @@
-package crankwick.handover;
+package crankwick.failover;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,7 +11,7 @@
  * ends first comes first, and each unit of worth counts like {@link #WORTH_CREDIT} less time. A key that only
  * depends on the request starves nobody: whatever comes later ends later.
  */
-final class HoldQueue {
+final class RequestBuffer {
     /** Microseconds that a unit of worth is ahead. */
     private static final long WORTH_CREDIT = 50_000;
 
@@ -20,37 +20,37 @@
      *
      * @param useful the last moment at which letting it go can still earn its answer
      */
-    record Held(long ref, String team, double worth, long useful, int bytes) {
+    record BufferedRequest(long ref, String team, double worth, long useful, int bytes) {
         long order() {
             return useful - (long) (worth * WORTH_CREDIT);
         }
     }
 
     /** What a team holds over all groups. */
-    static final class Share {
+    static final class TeamUsage {
         int requests;
         long bytes;
     }
 
-    private final TreeSet<Held> order = new TreeSet<>(
+    private final TreeSet<BufferedRequest> order = new TreeSet<>(
             (a, b) -> a.order() != b.order() ? Long.compare(a.order(), b.order()) : Long.compare(a.ref(), b.ref()));
-    private final Map<Long, Held> byRef = new HashMap<>();
-    private final Map<String, Share> shares;
-    private final HandoverSettings settings;
+    private final Map<Long, BufferedRequest> byRef = new HashMap<>();
+    private final Map<String, TeamUsage> shares;
+    private final FailoverSettings settings;
     private long bytes;
 
     /** {@code shares} of teams, over all groups, are kept by all queues together. */
-    HoldQueue(HandoverSettings settings, Map<String, Share> shares) {
+    RequestBuffer(FailoverSettings settings, Map<String, TeamUsage> shares) {
         this.settings = settings;
         this.shares = shares;
     }
 
     /** Takes a request; false if one of the bounds forbids it. */
-    boolean add(Held held) {
-        Share share = shares.computeIfAbsent(held.team(), team -> new Share());
-        boolean room = byRef.size() < settings.heldPerGroup()
+    boolean add(BufferedRequest held) {
+        TeamUsage share = shares.computeIfAbsent(held.team(), team -> new TeamUsage());
+        boolean room = byRef.size() < settings.bufferedPerGroup()
                 && bytes + held.bytes() <= settings.bytesPerGroup()
-                && share.requests < settings.heldPerTeam()
+                && share.requests < settings.bufferedPerTeam()
                 && share.bytes + held.bytes() <= settings.bytesPerTeam();
         if (room) {
             share.requests++;
@@ -65,12 +65,12 @@
     }
 
     /** The one place where held room is given back; null if the request is not held. */
-    Held remove(long ref) {
-        Held held = byRef.remove(ref);
+    BufferedRequest remove(long ref) {
+        BufferedRequest held = byRef.remove(ref);
         if (held != null) {
             order.remove(held);
             bytes -= held.bytes();
-            Share share = shares.get(held.team());
+            TeamUsage share = shares.get(held.team());
             share.bytes -= held.bytes();
             if (--share.requests == 0) {
                 shares.remove(held.team());
@@ -80,12 +80,12 @@
     }
 
     /** Who is let go next; null if nobody waits. */
-    Held first() {
+    BufferedRequest first() {
         return order.isEmpty() ? null : order.first();
     }
 
     /** Everybody, in order. */
-    List<Held> all() {
+    List<BufferedRequest> all() {
         return new ArrayList<>(order);
     }
 
--- a/src/main/java/crankwick/model/GroupModel.java
+++ b/src/main/java/crankwick/model/GroupModel.java
@@ -1,8 +1,8 @@
 package crankwick.model;
 
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -201,9 +201,9 @@
         } else if (press(m, query.isWrite() ? settings.writeWork() : settings.readWork())) {
             return;
         } else if (m.draining || m.waiting.size() >= settings.queue()) {
-            answer(m, job, Result.FULL);
+            answer(m, job, AttemptResult.REJECTED_OVERLOADED);
         } else if (query.isWrite() && !m.claims) {
-            answer(m, job, Result.MISS);
+            answer(m, job, AttemptResult.INELIGIBLE_REPLICA);
         } else {
             m.waiting.add(job);
             begin(m);
@@ -216,7 +216,8 @@
         } else if (m.state == State.HUNG) {
             m.silentProbes.add(probe.ref());
         } else {
-            out.accept(new ModelEffect.Answered(probe.ref(), m.index, Result.OK, role(m), position(m), report(m)));
+            out.accept(
+                    new ModelEffect.Answered(probe.ref(), m.index, AttemptResult.OK, role(m), position(m), report(m)));
         }
     }
 
@@ -264,9 +265,9 @@
 
     private void read(Member m, Job job, long until) {
         if (position(m) >= job.query.mustSee()) {
-            answer(m, job, Result.OK);
+            answer(m, job, AttemptResult.OK);
         } else if (now >= until || job.gone) {
-            answer(m, job, Result.MISS);
+            answer(m, job, AttemptResult.INELIGIBLE_REPLICA);
         } else {
             after(1_000, () -> read(m, job, until));
         }
@@ -274,7 +275,7 @@
 
     private void write(Member m, Job job) {
         if (!m.claims) {
-            answer(m, job, Result.ERROR);
+            answer(m, job, AttemptResult.ERROR);
             return;
         }
         if (m.index != leader) {
@@ -289,7 +290,7 @@
             place = append(m, new Entry(job.query.key(), now));
         }
         if (place < 0 || heldElsewhere(m, place)) {
-            answer(m, job, Result.OK);
+            answer(m, job, AttemptResult.OK);
         } else {
             unacknowledged.computeIfAbsent(place, p -> new ArrayList<>()).add(job);
         }
@@ -350,7 +351,7 @@
                 () -> m.applied = Math.max(m.applied, Math.min(place + 1, trimmed + log.size()))));
         List<Job> waiting = unacknowledged.remove(place);
         if (waiting != null) {
-            waiting.forEach(job -> answer(members[leader], job, Result.OK));
+            waiting.forEach(job -> answer(members[leader], job, AttemptResult.OK));
         }
     }
 
@@ -365,10 +366,10 @@
         }
     }
 
-    private void answer(Member m, Job job, Result result) {
+    private void answer(Member m, Job job, AttemptResult result) {
         m.jobs.remove(job.query.ref());
         if (!job.gone) {
-            boolean commit = job.query.isWrite() && result == Result.OK;
+            boolean commit = job.query.isWrite() && result == AttemptResult.OK;
             out.accept(new ModelEffect.Answered(
                     job.query.ref(), m.index, result, role(m), commit ? now : position(m), report(m)));
         }
@@ -393,8 +394,8 @@
         return m.floor;
     }
 
-    private Report report(Member m) {
-        return new Report(
+    private LoadReport report(Member m) {
+        return new LoadReport(
                 position(m), role(m), m.waiting.size(), Math.min(1, m.running / (double) settings.cores()), Double.NaN);
     }
 
@@ -524,10 +525,10 @@
         m.applied = m.received;
         for (Job job : List.copyOf(m.jobs.values())) {
             if (job.query.isWrite() && (job.running || !m.waiting.contains(job))) {
-                answer(m, job, Result.ERROR);
+                answer(m, job, AttemptResult.ERROR);
             } else if (job.query.isWrite()) {
                 m.waiting.remove(job);
-                answer(m, job, Result.MISS);
+                answer(m, job, AttemptResult.INELIGIBLE_REPLICA);
             }
         }
     }
@@ -547,7 +548,7 @@
                 for (Member other : members) {
                     other.received = other.state == State.UP ? trimmed + log.size() : other.received;
                 }
-                unacknowledged.values().forEach(jobs -> jobs.forEach(job -> answer(m, job, Result.OK)));
+                unacknowledged.values().forEach(jobs -> jobs.forEach(job -> answer(m, job, AttemptResult.OK)));
                 unacknowledged.clear();
                 m.frozen = now;
                 beat = now;
@@ -587,8 +588,8 @@
             m.applied = m.received;
         }
         if (hung) {
-            m.silentProbes.forEach(ref ->
-                    out.accept(new ModelEffect.Answered(ref, m.index, Result.OK, role(m), position(m), report(m))));
+            m.silentProbes.forEach(ref -> out.accept(
+                    new ModelEffect.Answered(ref, m.index, AttemptResult.OK, role(m), position(m), report(m))));
             m.silentProbes.clear();
             begin(m);
         }
--- a/src/main/java/crankwick/model/ModelEffect.java
+++ b/src/main/java/crankwick/model/ModelEffect.java
@@ -1,13 +1,13 @@
 package crankwick.model;
 
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 
 /** What a group of databases does: for connections to carry, and for checkers to read its history off. */
 public sealed interface ModelEffect {
     /** An answer leaves: OK, MISS, FULL or ERROR, with the role and position (microseconds) it tells. */
-    record Answered(long ref, int member, Result result, Role role, long position, Report report)
+    record Answered(long ref, int member, AttemptResult result, Role role, long position, LoadReport report)
             implements ModelEffect {}
 
     /** The connection of a ref breaks; {@code refused} if it had never come up. */
--- a/src/main/java/crankwick/net/AnswerWriter.java
+++ b/src/main/java/crankwick/net/AnswerWriter.java
@@ -37,7 +37,7 @@
                 session.commands.poll();
             }
             session.idleSince = clock.now();
-            if (command.reply instanceof FrontReply.Fatal) {
+            if (command.reply instanceof ClientReply.Fatal) {
                 end(session, command.reply);
             } else {
                 write(session, command);
@@ -46,12 +46,12 @@
     }
 
     /** Says the last words and ends the sending; then the client has some time to take them and to close. */
-    void end(ClientSession session, FrontReply words) {
+    void end(ClientSession session, ClientReply words) {
         session.ending = true;
         session.cutAt = clock.now() + linger;
-        session.connection.write(words, new EmptyCompletionHandler<WriteResult<FrontReply, SocketAddress>>() {
+        session.connection.write(words, new EmptyCompletionHandler<WriteResult<ClientReply, SocketAddress>>() {
             @Override
-            public void completed(WriteResult<FrontReply, SocketAddress> result) {
+            public void completed(WriteResult<ClientReply, SocketAddress> result) {
                 Transport.endSending(session.connection);
             }
 
@@ -65,9 +65,9 @@
     private void write(ClientSession session, ClientCommand command) {
         long bytes = OVERHEAD_BYTES + command.reply.valueBytes();
         session.writing(bytes, clock.now());
-        var whenWritten = new EmptyCompletionHandler<WriteResult<FrontReply, SocketAddress>>() {
+        var whenWritten = new EmptyCompletionHandler<WriteResult<ClientReply, SocketAddress>>() {
             @Override
-            public void completed(WriteResult<FrontReply, SocketAddress> result) {
+            public void completed(WriteResult<ClientReply, SocketAddress> result) {
                 session.releaseAnswer(command.reply.valueBytes());
                 boolean room = session.written(bytes, clock.now());
                 session.settled(command.message, 1);
--- a/src/main/java/crankwick/net/ClientCommand.java
+++ b/src/main/java/crankwick/net/ClientCommand.java
@@ -13,18 +13,18 @@
     /** Null where the command is no request. */
     final Statement statement;
     /** What the client sent; null for what the front itself has to say. */
-    final FrontMessage message;
+    final ClientMessage message;
     /** When it was read, in microseconds of Unix time. */
     final long readAt;
     /** The answer; null until there is one. */
-    FrontReply reply;
+    ClientReply reply;
     /** How many commands in a row have this place and each this answer. */
     long times = 1;
     /** Which message of its connection it was, counted from 1; 0 for what the front itself has to say. */
     private final long number;
 
     ClientCommand(
-            ClientSession session, long ref, Statement statement, FrontMessage message, long number, long readAt) {
+            ClientSession session, long ref, Statement statement, ClientMessage message, long number, long readAt) {
         this.session = session;
         this.ref = ref;
         this.statement = statement;
--- a/src/main/java/crankwick/net/FrontCounters.java
+++ b/src/main/java/crankwick/net/ClientCounters.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** What a front has counted of its client connections since its start; safe on any thread. */
-final class FrontCounters {
+final class ClientCounters {
     final AtomicLong accepted = new AtomicLong();
     /** Told that there are too many connections. */
     final AtomicLong turnedAway = new AtomicLong();
--- a/src/main/java/crankwick/net/ClientFront.java
+++ b/src/main/java/crankwick/net/ClientListener.java
@@ -1,12 +1,12 @@
 package crankwick.net;
 
-import crankwick.RouterApi.Repeat;
-import crankwick.RouterApi.RequestClass;
-import crankwick.RouterApi.Settings;
+import crankwick.broker.AbandonReason;
 import crankwick.broker.BrokerEvent;
-import crankwick.broker.Call;
-import crankwick.broker.LeaveCause;
+import crankwick.broker.ClientRequest;
 import crankwick.broker.Reply;
+import crankwick.routing.api.Idempotency;
+import crankwick.routing.api.RequestClass;
+import crankwick.routing.api.RoutingSettings;
 import crankwick.statement.Statement;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,8 +37,8 @@
  * on or read in time is let go, and at the cap those make room who need it least. A command that has been read
  * is never closed upon: connections end on the thread that reads from them.
  */
-public final class ClientFront {
-    private static final Logger LOG = LoggerFactory.getLogger(ClientFront.class);
+public final class ClientListener {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
     /** From its coming up, a connection has so long to ask something; a command so long to come in whole. */
     private static final long FIRST_COMMAND = 2_000_000;
 
@@ -77,7 +77,7 @@
 
     private boolean full;
     private CodecFilter codec;
-    private final FrontCounters counters = new FrontCounters();
+    private final ClientCounters counters = new ClientCounters();
     private final ByteBudget statementBudget = new ByteBudget(MAX_STATEMENT_BYTES);
     private final ByteBudget answerBudget = new ByteBudget(MAX_ANSWER_BYTES);
     private final AnswerWriter answers;
@@ -93,14 +93,18 @@
     private long answerBy = Long.MAX_VALUE;
 
     /** {@code names} are those of the settings' classes; {@code teams} says which logins are known. */
-    public ClientFront(
-            EffectRunner runner, Settings settings, List<String> names, Predicate<String> teams, int maxSessions) {
+    public ClientListener(
+            EffectRunner runner,
+            RoutingSettings settings,
+            List<String> names,
+            Predicate<String> teams,
+            int maxSessions) {
         this.runner = runner;
-        this.classes = settings.classes();
+        this.classes = settings.requestClasses();
         answers = new AnswerWriter(runner.loop(), runner.clock(), LINGER, this::flush);
         long retryAfter = Math.min(EXCESS_RETRY_AFTER, settings.limits().maxRetryAfter());
-        excessReply = new Reply.Refused(
-                Reply.Reason.OVER_OPEN_COMMANDS, settings.limits().retryAfter() ? retryAfter : 0);
+        excessReply = new Reply.Rejected(
+                Reply.Reason.OVER_OPEN_COMMANDS, settings.limits().retryAfterSupported() ? retryAfter : 0);
         this.teams = teams;
         this.maxSessions = maxSessions;
         for (int i = 0; i < names.size(); i++) {
@@ -122,7 +126,7 @@
         for (ClientSession session : List.copyOf(sessions)) {
             for (ClientCommand command : session.commands) {
                 if (command.statement == null && command.reply == null) {
-                    command.reply = new FrontReply.Nothing();
+                    command.reply = new ClientReply.Nothing();
                 }
             }
             flush(session);
@@ -148,7 +152,7 @@
      */
     private void stopReading() {
         for (long ref : List.copyOf(open.keySet())) {
-            runner.tell(new BrokerEvent.DeadlineDue(ref));
+            runner.tell(new BrokerEvent.DeadlineReached(ref));
         }
         for (ClientSession session : List.copyOf(sessions)) {
             session.stopReading();
@@ -184,12 +188,12 @@
     }
 
     /** A read's answer for which there is no room is not kept: it may be asked for again. */
-    private FrontReply heldAnswer(ClientSession session, Reply reply) {
-        FrontReply answer = new FrontReply.Final(reply);
+    private ClientReply heldAnswer(ClientSession session, Reply reply) {
+        ClientReply answer = new ClientReply.Final(reply);
         if (!session.holdAnswer(answer.valueBytes())) {
             if (reply instanceof Reply.Served served && !served.write()) {
                 counters.droppedAnswers.incrementAndGet();
-                return new FrontReply.Final(excessReply);
+                return new ClientReply.Final(excessReply);
             }
             session.holdAnswerAnyway(answer.valueBytes());
         }
@@ -201,7 +205,7 @@
         sessions.add(session);
         if (isOverCap() && !makeRoom(session)) {
             counters.turnedAway.incrementAndGet();
-            answers.end(session, new FrontReply.Fatal(FrontReply.Cause.TOO_MANY, "too many connections"));
+            answers.end(session, new ClientReply.Fatal(ClientReply.Cause.TOO_MANY, "too many connections"));
         }
     }
 
@@ -253,31 +257,31 @@
         }
     }
 
-    private void onMessage(ClientSession session, FrontMessage message, long readAt) {
+    private void onMessage(ClientSession session, ClientMessage message, long readAt) {
         long number = session.nextMessage();
         if (session.ending || !sessions.contains(session)) {
             session.settled(message, 1);
-        } else if (message instanceof FrontMessage.Query m) {
+        } else if (message instanceof ClientMessage.Query m) {
             session.asked = true;
             onQuery(session, m, number, readAt);
-        } else if (message instanceof FrontMessage.Empty) {
+        } else if (message instanceof ClientMessage.Empty) {
             session.asked = true;
-            add(session, message, number, readAt, null, ready ? new FrontReply.Nothing() : null);
-        } else if (message instanceof FrontMessage.Excess) {
+            add(session, message, number, readAt, null, ready ? new ClientReply.Nothing() : null);
+        } else if (message instanceof ClientMessage.Excess) {
             refuseExcess(session, message, number, readAt);
-        } else if (message instanceof FrontMessage.Login m) {
+        } else if (message instanceof ClientMessage.Login m) {
             if (teams.test(m.team())) {
                 session.team = m.team();
-                add(session, message, number, readAt, null, new FrontReply.Welcome());
+                add(session, message, number, readAt, null, new ClientReply.Welcome());
             } else {
-                last(session, FrontReply.Cause.UNKNOWN_TEAM, "unknown team");
+                last(session, ClientReply.Cause.UNKNOWN_TEAM, "unknown team");
             }
-        } else if (message instanceof FrontMessage.Attention) {
-            abandon(session, LeaveCause.CANCELLED);
-            add(session, message, number, readAt, null, new FrontReply.AttentionHeard());
-        } else if (message instanceof FrontMessage.Broken m) {
+        } else if (message instanceof ClientMessage.Attention) {
+            abandon(session, AbandonReason.CANCELLED);
+            add(session, message, number, readAt, null, new ClientReply.AttentionHeard());
+        } else if (message instanceof ClientMessage.Broken m) {
             LOG.debug("client {}: {}", session.connection.getPeerAddress(), m.fault());
-            last(session, FrontReply.Cause.BROKEN, m.fault());
+            last(session, ClientReply.Cause.BROKEN, m.fault());
         } else {
             session.ending = true;
             session.settled(message, 1);
@@ -285,55 +289,55 @@
         }
     }
 
-    private void onQuery(ClientSession session, FrontMessage.Query query, long number, long readAt) {
+    private void onQuery(ClientSession session, ClientMessage.Query query, long number, long readAt) {
         try {
             Statement statement = Statement.parse(query.text());
-            Integer cls = classNames.get(statement.cls());
-            if (cls == null) {
+            Integer classIndex = classNames.get(statement.className());
+            if (classIndex == null) {
                 throw new IllegalArgumentException("c names no class");
             }
-            if (classes.get(cls).repeat() == Repeat.KEYED && statement.key() == null) {
+            if (classes.get(classIndex).idempotency() == Idempotency.WITH_KEY && statement.idempotencyKey() == null) {
                 throw new IllegalArgumentException("k is missing");
             }
             ClientCommand command = add(session, query, number, readAt, statement, null);
             // The client has been waiting since its command was read; the loop may have been late since.
             long now = runner.clock().now();
-            long left = Math.min(readAt + statement.waitMs() * 1_000, answerBy) - now;
-            long after = statement.after() > 0 ? statement.after() * 1_000 : -1;
-            runner.tell(new BrokerEvent.Taken(new Call(
+            long left = Math.min(readAt + statement.timeoutMillis() * 1_000, answerBy) - now;
+            long after = statement.requiredPosition() > 0 ? statement.requiredPosition() * 1_000 : -1;
+            runner.tell(new BrokerEvent.RequestReceived(new ClientRequest(
                     command.ref,
                     statement.id(),
                     session.team,
-                    cls,
-                    statement.cluster(),
+                    classIndex,
+                    statement.groupId(),
                     statement.sessionNumber(),
                     after,
                     Math.max(1, left),
-                    statement.key(),
+                    statement.idempotencyKey(),
                     query.bytes())));
         } catch (IllegalArgumentException e) {
-            add(session, query, number, readAt, null, new FrontReply.Unreadable(e.getMessage()));
+            add(session, query, number, readAt, null, new ClientReply.Unreadable(e.getMessage()));
         }
     }
 
     /** What comes in a row beyond the limits shares one place, so that what is kept of it stays bounded. */
-    private void refuseExcess(ClientSession session, FrontMessage message, long number, long readAt) {
+    private void refuseExcess(ClientSession session, ClientMessage message, long number, long readAt) {
         ClientCommand last = session.commands.peekLast();
-        if (last != null && last.message instanceof FrontMessage.Excess) {
+        if (last != null && last.message instanceof ClientMessage.Excess) {
             last.times++;
             flush(session);
         } else {
-            add(session, message, number, readAt, null, new FrontReply.Final(excessReply));
+            add(session, message, number, readAt, null, new ClientReply.Final(excessReply));
         }
     }
 
     private ClientCommand add(
             ClientSession session,
-            FrontMessage message,
+            ClientMessage message,
             long number,
             long readAt,
             Statement statement,
-            FrontReply reply) {
+            ClientReply reply) {
         ClientCommand command = new ClientCommand(session, ++lastRef, statement, message, number, readAt);
         command.reply = reply;
         session.commands.add(command);
@@ -345,24 +349,24 @@
     }
 
     /** The last words come in their place: what was taken before is answered first. */
-    private void last(ClientSession session, FrontReply.Cause cause, String fault) {
+    private void last(ClientSession session, ClientReply.Cause cause, String fault) {
         counters.protocolErrors.incrementAndGet();
         session.ending = true;
         ClientCommand words = new ClientCommand(session, ++lastRef, null, null, 0, 0);
-        words.reply = new FrontReply.Fatal(cause, fault);
+        words.reply = new ClientReply.Fatal(cause, fault);
         session.commands.add(words);
         flush(session);
     }
 
     /** The client is owed nothing of what it has asked so far. */
-    private void abandon(ClientSession session, LeaveCause cause) {
+    private void abandon(ClientSession session, AbandonReason cause) {
         List<ClientCommand> left = new ArrayList<>(session.commands);
         session.commands.clear();
         for (ClientCommand command : left) {
             session.settled(command.message, command.times);
             session.releaseAnswer(command.reply == null ? 0 : command.reply.valueBytes());
             if (open.remove(command.ref) != null) {
-                runner.tell(new BrokerEvent.Left(command.ref, cause));
+                runner.tell(new BrokerEvent.RequestAbandoned(command.ref, cause));
             }
         }
     }
@@ -383,7 +387,7 @@
             if (!session.commands.isEmpty()) {
                 counters.closedWhileOwed.incrementAndGet();
             }
-            abandon(session, LeaveCause.CLOSED);
+            abandon(session, AbandonReason.CLOSED);
         }
     }
 
@@ -406,7 +410,7 @@
 
     private void endStalled(ClientSession session) {
         if (!session.ending && sessions.contains(session)) {
-            last(session, FrontReply.Cause.BROKEN, "a command without its end");
+            last(session, ClientReply.Cause.BROKEN, "a command without its end");
         }
     }
 
@@ -414,7 +418,7 @@
         if (closing || session.asked && session.idleSince < now - idle) {
             closeUnlessBusy(session);
         } else if (!session.asked && session.idleSince < now - FIRST_COMMAND && !session.isOwedAnAnswer()) {
-            last(session, FrontReply.Cause.BROKEN, "no command in time");
+            last(session, ClientReply.Cause.BROKEN, "no command in time");
         }
     }
 
@@ -443,9 +447,9 @@
         @Override
         public NextAction handleRead(FilterChainContext context) {
             ClientSession session = ofConnection.peek(Transport.connection(context));
-            List<FrontMessage> messages = context.getMessage();
+            List<ClientMessage> messages = context.getMessage();
             long readAt = runner.clock().now();
-            List<FrontMessage> admitted = session.read(messages);
+            List<ClientMessage> admitted = session.read(messages);
             runner.loop().execute(() -> admitted.forEach(message -> onMessage(session, message, readAt)));
             return context.getStopAction();
         }
--- a/src/main/java/crankwick/net/FrontReply.java
+++ b/src/main/java/crankwick/net/ClientReply.java
@@ -3,7 +3,7 @@
 import crankwick.broker.Reply;
 
 /** What a client is told, whatever its wire. */
-public sealed interface FrontReply {
+public sealed interface ClientReply {
     /** How many bytes the value takes that it carries; 0 for none. */
     default int valueBytes() {
         return 0;
@@ -17,13 +17,13 @@
     }
 
     /** The login is accepted. */
-    record Welcome() implements FrontReply {}
+    record Welcome() implements ClientReply {}
 
     /** The answer to the empty query. */
-    record Nothing() implements FrontReply {}
+    record Nothing() implements ClientReply {}
 
     /** A request's final answer. */
-    record Final(Reply reply) implements FrontReply {
+    record Final(Reply reply) implements ClientReply {
         @Override
         public int valueBytes() {
             return reply instanceof Reply.Served served && served.value() != null ? served.value().length : 0;
@@ -31,11 +31,11 @@
     }
 
     /** A statement that can't be read; the connection goes on. */
-    record Unreadable(String fault) implements FrontReply {}
+    record Unreadable(String fault) implements ClientReply {}
 
     /** The attention has been heard, and what it withdrew is over. */
-    record AttentionHeard() implements FrontReply {}
+    record AttentionHeard() implements ClientReply {}
 
     /** The connection ends after this. */
-    record Fatal(Cause cause, String fault) implements FrontReply {}
+    record Fatal(Cause cause, String fault) implements ClientReply {}
 }
--- a/src/main/java/crankwick/net/ClientSession.java
+++ b/src/main/java/crankwick/net/ClientSession.java
@@ -52,7 +52,7 @@
 
     private final ByteBudget statements;
     private final ByteBudget answers;
-    private final FrontCounters counters;
+    private final ClientCounters counters;
     /** Messages that are not answered yet, and those of them that are kept with their text. */
     private long unanswered;
 
@@ -78,7 +78,7 @@
     private boolean closed;
 
     ClientSession(
-            Connection<SocketAddress> connection, ByteBudget statements, ByteBudget answers, FrontCounters counters) {
+            Connection<SocketAddress> connection, ByteBudget statements, ByteBudget answers, ClientCounters counters) {
         this.connection = connection;
         this.statements = statements;
         this.answers = answers;
@@ -89,11 +89,11 @@
      * Messages have been read; they are returned as they are to be handed to the loop, those beyond the limits
      * without their text. On the thread that reads.
      */
-    synchronized List<FrontMessage> read(List<FrontMessage> messages) {
-        List<FrontMessage> admitted = new ArrayList<>(messages.size());
-        for (FrontMessage message : messages) {
+    synchronized List<ClientMessage> read(List<ClientMessage> messages) {
+        List<ClientMessage> admitted = new ArrayList<>(messages.size());
+        for (ClientMessage message : messages) {
             messagesRead++;
-            if (message instanceof FrontMessage.Attention) {
+            if (message instanceof ClientMessage.Attention) {
                 cancelledTo = messagesRead;
             }
             admitted.add(admit(message));
@@ -108,15 +108,15 @@
         return admitted;
     }
 
-    private FrontMessage admit(FrontMessage message) {
-        if (!(message instanceof FrontMessage.Query || message instanceof FrontMessage.Empty)) {
+    private ClientMessage admit(ClientMessage message) {
+        if (!(message instanceof ClientMessage.Query || message instanceof ClientMessage.Empty)) {
             return message;
         }
         int bytes = message.bytes();
         boolean fits = open < MAX_OPEN_COMMANDS && openBytes + bytes <= MAX_OPEN_BYTES && statements.reserve(bytes);
         if (!fits) {
             counters.excessCommands.incrementAndGet();
-            return new FrontMessage.Excess();
+            return new ClientMessage.Excess();
         }
         open++;
         openBytes += bytes;
@@ -135,9 +135,9 @@
     }
 
     /** So many messages in a row like this one have their answers written, or none is owed. */
-    synchronized void settled(FrontMessage message, long times) {
+    synchronized void settled(ClientMessage message, long times) {
         unanswered -= times;
-        if (message instanceof FrontMessage.Query || message instanceof FrontMessage.Empty) {
+        if (message instanceof ClientMessage.Query || message instanceof ClientMessage.Empty) {
             open--;
             release(message.bytes());
         }
--- a/src/main/java/crankwick/net/DatabaseMessage.java
+++ b/src/main/java/crankwick/net/DatabaseMessage.java
@@ -1,8 +1,8 @@
 package crankwick.net;
 
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 
 /** What a database says, whatever its wire. */
 public sealed interface DatabaseMessage {
@@ -10,7 +10,7 @@
     record Greeted() implements DatabaseMessage {}
 
     /** The whole answer to a command; {@code last} if the database ends the connection after it. */
-    record Answered(Result result, Role role, long position, Report report, byte[] value, boolean last)
+    record Answered(AttemptResult result, Role role, long position, LoadReport report, byte[] value, boolean last)
             implements DatabaseMessage {}
 
     /** What came in breaks the protocol. */
--- a/src/main/java/crankwick/net/DatabasePool.java
+++ b/src/main/java/crankwick/net/DatabasePool.java
@@ -1,13 +1,13 @@
 package crankwick.net;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Standing;
 import crankwick.broker.BrokerEvent;
 import crankwick.broker.Effect;
 import crankwick.discovery.Discovery;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.Role;
 import java.net.ConnectException;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
@@ -77,14 +77,14 @@
 
         abstract void written();
 
-        abstract void ended(Result result, long duration, DatabaseMessage.Answered answer);
+        abstract void ended(AttemptResult result, long duration, DatabaseMessage.Answered answer);
 
         /** Nobody is to be told of its end any more. */
         final void over() {
             over = true;
         }
 
-        final void end(Result result, DatabaseMessage.Answered answer) {
+        final void end(AttemptResult result, DatabaseMessage.Answered answer) {
             if (!over) {
                 over = true;
                 ended(result, runner.clock().now() - startedAt, answer);
@@ -99,14 +99,14 @@
         private final ClientCommand asked;
         private final long beginBy;
 
-        Attempt(Effect.Send send, ClientCommand asked) {
+        Attempt(Effect.SendAttempt send, ClientCommand asked) {
             super(
-                    send.server(),
-                    () -> new DatabaseCommand.Run(asked.statement.withWait(
-                            Math.max(1, (send.expires() - runner.clock().now()) / MICROS_PER_MILLI))));
-            ref = send.ref();
+                    send.endpointId(),
+                    () -> new DatabaseCommand.Run(asked.statement.withTimeout(
+                            Math.max(1, (send.expiresAt() - runner.clock().now()) / MICROS_PER_MILLI))));
+            ref = send.requestId();
             number = send.attempt();
-            beginBy = send.beginBy();
+            beginBy = send.startBefore();
             this.asked = asked;
         }
 
@@ -125,17 +125,17 @@
 
         @Override
         void written() {
-            runner.tell(new BrokerEvent.Written(ref, number));
+            runner.tell(new BrokerEvent.AttemptWritten(ref, number));
         }
 
         @Override
-        void ended(Result result, long duration, DatabaseMessage.Answered answer) {
+        void ended(AttemptResult result, long duration, DatabaseMessage.Answered answer) {
             attempts.remove(ref);
             runner.tell(
                     answer == null
-                            ? new BrokerEvent.Ended(
-                                    ref, number, result, duration, Role.UNKNOWN, RouterApi.NONE, null, null)
-                            : new BrokerEvent.Ended(
+                            ? new BrokerEvent.AttemptEnded(
+                                    ref, number, result, duration, Role.UNKNOWN, AbsentValue.NONE, null, null)
+                            : new BrokerEvent.AttemptEnded(
                                     ref,
                                     number,
                                     result,
@@ -151,7 +151,7 @@
     private final class Probe extends Job {
         Probe(String server) {
             super(server, DatabaseCommand.AskReport::new);
-            runner.loop().after(PROBE_TIMEOUT, () -> giveUp(this, Result.TIMEOUT));
+            runner.loop().after(PROBE_TIMEOUT, () -> giveUp(this, AttemptResult.TIMEOUT));
         }
 
         @Override
@@ -170,8 +170,9 @@
         }
 
         @Override
-        void ended(Result result, long duration, DatabaseMessage.Answered answer) {
-            runner.tell(new BrokerEvent.Probed(server, result, duration, answer == null ? null : answer.report()));
+        void ended(AttemptResult result, long duration, DatabaseMessage.Answered answer) {
+            runner.tell(new BrokerEvent.HealthCheckEnded(
+                    server, result, duration, answer == null ? null : answer.report()));
         }
     }
 
@@ -214,7 +215,7 @@
             if (!greeted && !gone) {
                 counters.notUpInTime.incrementAndGet();
                 LOG.info("{}: {}", server, why);
-                discard(Result.UNREACHABLE);
+                discard(AttemptResult.UNREACHABLE);
             }
         }
 
@@ -235,7 +236,9 @@
         @Override
         public void failed(Throwable fault) {
             boolean refused = fault instanceof ConnectException;
-            runner.loop().execute(() -> discard(refused ? Result.UNREACHABLE : Result.DROPPED));
+            runner.loop()
+                    .execute(() ->
+                            discard(refused ? AttemptResult.UNREACHABLE : AttemptResult.CONNECTION_LOST_BEFORE_SEND));
         }
 
         /**
@@ -326,18 +329,21 @@
             } else if (message instanceof DatabaseMessage.Answered answer) {
                 if (!greeted) {
                     // Turned away at the door: what was meant for it has not been written.
-                    discard(answer.result() == Result.FULL ? Result.FULL : Result.UNREACHABLE);
+                    discard(
+                            answer.result() == AttemptResult.REJECTED_OVERLOADED
+                                    ? AttemptResult.REJECTED_OVERLOADED
+                                    : AttemptResult.UNREACHABLE);
                 } else if (job != null) {
                     Job done = job;
                     job = null;
                     if (answer.last()) {
-                        discard(Result.RESET);
+                        discard(AttemptResult.RESET);
                     } else {
                         release(this);
                     }
                     done.end(answer.result(), answer);
                 } else {
-                    discard(Result.RESET);
+                    discard(AttemptResult.RESET);
                 }
             } else if (message instanceof DatabaseMessage.Broken broken) {
                 onBroken(broken.fault());
@@ -348,7 +354,7 @@
         void onBroken(String fault) {
             LOG.warn("database {}: {}", server, fault);
             if (!moveUnbegun()) {
-                discard(greeted ? Result.RESET : Result.DROPPED);
+                discard(greeted ? AttemptResult.RESET : AttemptResult.CONNECTION_LOST_BEFORE_SEND);
             }
         }
 
@@ -361,7 +367,10 @@
         void onClosed() {
             if (!moveUnbegun()) {
                 boolean stale = kept && runner.clock().now() - startedAt < AT_ONCE;
-                discard(!written ? Result.DROPPED : stale ? Result.STALE : Result.RESET);
+                discard(
+                        !written
+                                ? AttemptResult.CONNECTION_LOST_BEFORE_SEND
+                                : stale ? AttemptResult.STALE_CONNECTION : AttemptResult.RESET);
             }
         }
 
@@ -374,14 +383,14 @@
             job = null;
             unbegun.link = null;
             counters.moved.incrementAndGet();
-            discard(Result.RESET);
+            discard(AttemptResult.RESET);
             begin(unbegun);
             return true;
         }
 
         private void recallIfStill(Job unwanted) {
             if (!gone && job == unwanted) {
-                recall(Result.NOT_SENT);
+                recall(AttemptResult.NOT_SENT);
             }
         }
 
@@ -389,7 +398,7 @@
          * Ends the job if not a byte of its command has been written, and keeps the connection, which may
          * still be coming up; false if it has begun.
          */
-        boolean recall(Result result) {
+        boolean recall(AttemptResult result) {
             if (greeted && !started.compareAndSet(false, true)) {
                 return false;
             }
@@ -404,7 +413,7 @@
         }
 
         /** Ends the connection, and with {@code result} what it still carried. */
-        void discard(Result result) {
+        void discard(AttemptResult result) {
             if (gone) {
                 return;
             }
@@ -435,7 +444,7 @@
     private final int maxLinks;
     private final Deque<Link> noLinks = new ArrayDeque<>(0);
     private final FilterChain chain;
-    private final Map<String, Discovery.Host> hosts = new HashMap<>();
+    private final Map<String, Discovery.DiscoveredEndpoint> hosts = new HashMap<>();
     /** When those hosts that are no longer listed left the list. */
     private final Map<String, Long> leftAt = new HashMap<>();
 
@@ -470,15 +479,15 @@
     }
 
     /** Takes the addresses in; what was connected to an earlier process or is to go is not used again. */
-    void learn(Discovery.News news) {
+    void learn(Discovery.ListUpdate news) {
         long now = runner.clock().now();
-        if (news.kind() == ListKind.FULL) {
+        if (news.kind() == EndpointUpdateKind.FULL) {
             hosts.keySet().forEach(server -> leftAt.putIfAbsent(server, now));
         }
-        for (Discovery.Host host : news.hosts()) {
-            String server = host.member().server();
-            boolean gone = host.member().standing() == Standing.GONE;
-            Discovery.Host known = hosts.put(server, host);
+        for (Discovery.DiscoveredEndpoint host : news.discovered()) {
+            String server = host.endpoint().id();
+            boolean gone = host.endpoint().status() == EndpointStatus.REMOVED;
+            Discovery.DiscoveredEndpoint known = hosts.put(server, host);
             if (gone) {
                 leftAt.putIfAbsent(server, now);
             } else {
@@ -486,16 +495,16 @@
             }
             if (known != null
                     && (gone
-                            || known.member().startedAt() != host.member().startedAt()
+                            || known.endpoint().startedAt() != host.endpoint().startedAt()
                             || !known.address().equals(host.address()))) {
                 discardIdle(server);
             }
         }
     }
 
-    void send(Effect.Send send, ClientCommand asked) {
+    void send(Effect.SendAttempt send, ClientCommand asked) {
         Attempt attempt = new Attempt(send, asked);
-        attempts.put(send.ref(), attempt);
+        attempts.put(send.requestId(), attempt);
         begin(attempt);
     }
 
@@ -504,7 +513,7 @@
         Attempt attempt = attempts.remove(ref);
         if (attempt != null) {
             attempt.over();
-            giveUp(attempt, Result.CANCELLED);
+            giveUp(attempt, AttemptResult.CANCELLED);
         }
     }
 
@@ -512,7 +521,7 @@
     void recall(long ref) {
         Attempt attempt = attempts.get(ref);
         if (attempt != null && attempt.link != null && attempt.link.job == attempt) {
-            attempt.link.recall(Result.NOT_SENT);
+            attempt.link.recall(AttemptResult.NOT_SENT);
         }
     }
 
@@ -521,7 +530,7 @@
     }
 
     private void begin(Job job) {
-        Discovery.Host host = hosts.get(job.server);
+        Discovery.DiscoveredEndpoint host = hosts.get(job.server);
         Link link = rested(job.server);
         Link resting =
                 link != null ? null : idle.getOrDefault(job.server, noLinks).pollFirst();
@@ -530,7 +539,7 @@
         } else if (resting != null) {
             resting.startRested(job);
         } else if (host == null || links >= maxLinks && !makeRoom()) {
-            job.end(Result.NOT_SENT, null);
+            job.end(AttemptResult.NOT_SENT, null);
         } else {
             links++;
             counters.opened.incrementAndGet();
@@ -564,13 +573,13 @@
             }
         }
         if (eldest != null) {
-            eldest.discard(Result.RESET);
+            eldest.discard(AttemptResult.RESET);
         }
         return eldest != null;
     }
 
     /** Nothing more is wanted of a job: a connection that has its command must end. */
-    private void giveUp(Job job, Result result) {
+    private void giveUp(Job job, AttemptResult result) {
         Link link = job.link;
         if (link != null && link.job == job && !link.recall(result)) {
             link.discard(result);
@@ -583,14 +592,14 @@
     }
 
     private void discardIdle(String server) {
-        List.copyOf(idle.getOrDefault(server, noLinks)).forEach(link -> link.discard(Result.RESET));
+        List.copyOf(idle.getOrDefault(server, noLinks)).forEach(link -> link.discard(AttemptResult.RESET));
     }
 
     private void reap() {
         long now = runner.clock().now();
         for (Deque<Link> free : idle.values()) {
             while (!free.isEmpty() && free.peekFirst().idleSince < now - maxIdle) {
-                free.peekFirst().discard(Result.RESET);
+                free.peekFirst().discard(AttemptResult.RESET);
             }
         }
         idle.values().removeIf(Deque::isEmpty);
--- a/src/main/java/crankwick/net/DatabaseReply.java
+++ b/src/main/java/crankwick/net/DatabaseReply.java
@@ -1,8 +1,8 @@
 package crankwick.net;
 
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 
 /**
  * What an emulated database answers to a statement or a probe; {@code position} in microseconds.
@@ -12,7 +12,7 @@
  * @param write whether the statement was a write: a miss of one is worded unlike that of a read
  */
 public record DatabaseReply(
-        Result result, Role role, long position, Report report, String value, boolean probe, boolean write) {
+        AttemptResult result, Role role, long position, LoadReport report, String value, boolean probe, boolean write) {
     /** The role as databases word it. */
     public String mode() {
         return role == Role.PRIMARY ? "read-write" : "read-only";
@@ -20,10 +20,12 @@
 
     /** The position in Unix milliseconds: a commit's is rounded up, any other down. */
     public long millis() {
-        return write && result == Result.OK ? Math.floorDiv(position + 999, 1_000L) : Math.floorDiv(position, 1_000L);
+        return write && result == AttemptResult.OK
+                ? Math.floorDiv(position + 999, 1_000L)
+                : Math.floorDiv(position, 1_000L);
     }
 
-    /** The load report, as {@link ReportCodec} reads it. */
+    /** The load report, as {@link LoadReportCodec} reads it. */
     public String stats() {
         return "x0=" + report.position() / 1_000 / 1e3 + ",x1=" + (role == Role.PRIMARY ? 1 : 0);
     }
--- a/src/main/java/crankwick/net/EffectRunner.java
+++ b/src/main/java/crankwick/net/EffectRunner.java
@@ -17,7 +17,7 @@
     private final Clock clock;
     private final ArrayDeque<BrokerEvent> events = new ArrayDeque<>();
     private boolean running;
-    private ClientFront front;
+    private ClientListener front;
     private DatabasePool pool;
 
     /** Before any event, {@link #attach} must name who carries the effects out. */
@@ -28,7 +28,7 @@
     }
 
     /** Names who carries the effects out. */
-    public void attach(ClientFront clients, DatabasePool databases) {
+    public void attach(ClientListener clients, DatabasePool databases) {
         front = clients;
         pool = databases;
     }
@@ -52,27 +52,27 @@
     }
 
     private void run(Effect effect) {
-        if (effect instanceof Effect.Send e) {
-            pool.send(e, front.command(e.ref()));
-        } else if (effect instanceof Effect.Answer e) {
-            front.answer(e.ref(), e.reply());
-        } else if (effect instanceof Effect.Withdraw e) {
-            pool.withdraw(e.ref());
-        } else if (effect instanceof Effect.Recall e) {
-            pool.recall(e.ref());
-        } else if (effect instanceof Effect.Arm e) {
+        if (effect instanceof Effect.SendAttempt e) {
+            pool.send(e, front.command(e.requestId()));
+        } else if (effect instanceof Effect.SendReply e) {
+            front.answer(e.requestId(), e.reply());
+        } else if (effect instanceof Effect.CancelAttempt e) {
+            pool.withdraw(e.requestId());
+        } else if (effect instanceof Effect.CancelQueued e) {
+            pool.recall(e.requestId());
+        } else if (effect instanceof Effect.ScheduleTimer e) {
             loop.after(e.delay(), () -> tell(e.event()));
-        } else if (effect instanceof Effect.Probe e) {
-            pool.probe(e.server());
+        } else if (effect instanceof Effect.CheckHealth e) {
+            pool.probe(e.endpointId());
         } else if (effect instanceof Effect.Log e) {
             LOG.info(e.line());
         }
     }
 
     /** News of the list: addresses first, so that the broker names none that is unknown here. */
-    public void listed(Discovery.News news) {
+    public void listed(Discovery.ListUpdate news) {
         pool.learn(news);
-        tell(new BrokerEvent.Listed(news.kind(), news.members()));
+        tell(new BrokerEvent.EndpointsUpdated(news.kind(), news.endpoints()));
     }
 
     Broker broker() {
--- a/src/main/java/crankwick/net/ReportCodec.java
+++ b/src/main/java/crankwick/net/LoadReportCodec.java
@@ -1,22 +1,22 @@
 package crankwick.net;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 import java.util.regex.Pattern;
 
 /** Reads a load report, {@code x0=1767225600.123,x1=0}, which is worded alike on every wire. */
-public final class ReportCodec {
+public final class LoadReportCodec {
     /** Narrower than what Java reads: no sign, no infinity, no hexadecimal, nothing of astronomic size. */
     private static final double MAX_NUMBER = 1e14;
 
     private static final Pattern NUMBER = Pattern.compile("\\d{1,14}(\\.\\d{1,14})?([eE]\\d{1,2})?");
 
-    private ReportCodec() {}
+    private LoadReportCodec() {}
 
     /** The report, or null if any part of the text can't be read: then none of it is believed. */
-    public static Report parse(String text) {
-        long position = RouterApi.NONE;
+    public static LoadReport parse(String text) {
+        long position = AbsentValue.NONE;
         Role role = Role.UNKNOWN;
         double backlog = Double.NaN;
         double utilization = Double.NaN;
@@ -36,13 +36,13 @@
                 default -> {}
             }
         }
-        return new Report(position, role, backlog, utilization, inFlight);
+        return new LoadReport(position, role, backlog, utilization, inFlight);
     }
 
     /** A log position in Unix milliseconds as microseconds; NONE if the text is none. */
     public static long position(String millis) {
         double value = number(millis);
-        return value > 0 ? (long) (value * 1e3) : RouterApi.NONE;
+        return value > 0 ? (long) (value * 1e3) : AbsentValue.NONE;
     }
 
     /** A database's place in its group, from its {@code mode}. */
--- a/src/main/java/crankwick/pg/PgFrontCodec.java
+++ b/src/main/java/crankwick/pg/PgClientCodec.java
@@ -1,14 +1,14 @@
 package crankwick.pg;
 
 import crankwick.broker.Reply;
+import crankwick.net.ClientMessage;
+import crankwick.net.ClientReply;
 import crankwick.net.CodecFilter;
-import crankwick.net.FrontMessage;
-import crankwick.net.FrontReply;
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
 /** The client's side of PostgreSQL's protocol: no password, simple queries. */
-public final class PgFrontCodec extends CodecFilter {
+public final class PgClientCodec extends CodecFilter {
     private static final int VERSION_3 = 3 << 16;
     private static final int SSL_REQUEST = 80877103;
     private static final int GSS_REQUEST = 80877104;
@@ -43,11 +43,11 @@
             if (code == SSL_REQUEST || code == GSS_REQUEST) {
                 answer(context, new byte[] {'N'});
             } else if (code == CANCEL_REQUEST) {
-                emit(new FrontMessage.Quit());
+                emit(new ClientMessage.Quit());
             } else {
                 require(code >> 16 == VERSION_3 >> 16, "unknown version of the protocol");
                 started = true;
-                emit(new FrontMessage.Login(""));
+                emit(new ClientMessage.Login(""));
             }
             return true;
         }
@@ -66,12 +66,12 @@
             byte[] body = new byte[length - 4];
             in.get(body);
             if (type == 'X') {
-                emit(new FrontMessage.Quit());
+                emit(new ClientMessage.Quit());
                 return true;
             }
             require(body.length > 0 && body[body.length - 1] == 0, "a query without its end");
             String text = new String(body, 0, body.length - 1, PgWriter.CHARSET);
-            emit(text.isBlank() ? new FrontMessage.Empty() : new FrontMessage.Query(text));
+            emit(text.isBlank() ? new ClientMessage.Empty() : new ClientMessage.Query(text));
             return true;
         }
 
@@ -82,7 +82,7 @@
 
         @Override
         protected Object brokenBy(String fault) {
-            return new FrontMessage.Broken(fault);
+            return new ClientMessage.Broken(fault);
         }
 
         private static void require(boolean holds, String fault) {
@@ -95,13 +95,13 @@
     @Override
     public byte[] encode(Object value) {
         PgWriter out = new PgWriter();
-        if (value instanceof FrontReply.Final f) {
+        if (value instanceof ClientReply.Final f) {
             answer(out, f.reply());
-        } else if (value instanceof FrontReply.Nothing) {
+        } else if (value instanceof ClientReply.Nothing) {
             out.end('I');
-        } else if (value instanceof FrontReply.Unreadable u) {
+        } else if (value instanceof ClientReply.Unreadable u) {
             error(out, "ERROR", "42601", u.fault(), null);
-        } else if (value instanceof FrontReply.Fatal f) {
+        } else if (value instanceof ClientReply.Fatal f) {
             error(
                     out,
                     "FATAL",
@@ -125,7 +125,7 @@
         if (reply instanceof Reply.Served served) {
             out.row(served.value());
             out.text(served.write() ? "INSERT 0 1" : "SELECT 1").end('C');
-        } else if (reply instanceof Reply.Refused refused) {
+        } else if (reply instanceof Reply.Rejected refused) {
             long millis = (refused.retryAfter() + 999) / 1_000;
             error(out, "ERROR", "53300", "refused: " + refused.reason(), millis > 0 ? Long.toString(millis) : null);
         } else if (reply instanceof Reply.Failed failed) {
--- a/src/main/java/crankwick/pg/PgDatabaseCodec.java
+++ b/src/main/java/crankwick/pg/PgDatabaseCodec.java
@@ -1,13 +1,13 @@
 package crankwick.pg;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
 import crankwick.net.CodecFilter;
 import crankwick.net.DatabaseCommand;
 import crankwick.net.DatabaseMessage;
-import crankwick.net.ReportCodec;
+import crankwick.net.LoadReportCodec;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
@@ -45,8 +45,8 @@
         private String error;
         private byte[] value;
         private Role role = Role.UNKNOWN;
-        private long position = RouterApi.NONE;
-        private Report report;
+        private long position = AbsentValue.NONE;
+        private LoadReport report;
 
         @Override
         protected void asked(Object command) {
@@ -125,9 +125,9 @@
 
         private void parameter(String name, String content) {
             switch (name) {
-                case "mode" -> role = ReportCodec.role(content);
-                case "wal_time" -> position = ReportCodec.position(content);
-                case "stats" -> report = ReportCodec.parse(content);
+                case "mode" -> role = LoadReportCodec.role(content);
+                case "wal_time" -> position = LoadReportCodec.position(content);
+                case "stats" -> report = LoadReportCodec.parse(content);
                 default -> {}
             }
         }
@@ -162,9 +162,9 @@
 
         private void answered(boolean last) {
             if (probe && value != null) {
-                report = ReportCodec.parse(new String(value, PgWriter.CHARSET));
+                report = LoadReportCodec.parse(new String(value, PgWriter.CHARSET));
             }
-            Result result = error != null ? result(error) : Result.OK;
+            AttemptResult result = error != null ? result(error) : AttemptResult.OK;
             var answer = new DatabaseMessage.Answered(result, role, position, report, value, last);
             clear();
             emitLast(answer);
@@ -176,7 +176,7 @@
             error = null;
             value = null;
             role = Role.UNKNOWN;
-            position = RouterApi.NONE;
+            position = AbsentValue.NONE;
             report = null;
         }
 
@@ -190,11 +190,11 @@
             return new DatabaseMessage.Broken(fault);
         }
 
-        private static Result result(String code) {
+        private static AttemptResult result(String code) {
             return switch (code) {
-                case "25006", "72000" -> Result.MISS;
-                case "53300", "57P03" -> Result.FULL;
-                default -> Result.ERROR;
+                case "25006", "72000" -> AttemptResult.INELIGIBLE_REPLICA;
+                case "53300", "57P03" -> AttemptResult.REJECTED_OVERLOADED;
+                default -> AttemptResult.ERROR;
             };
         }
 
--- a/src/main/java/crankwick/pg/PgMemberCodec.java
+++ b/src/main/java/crankwick/pg/PgEmulatorCodec.java
@@ -1,14 +1,14 @@
 package crankwick.pg;
 
-import crankwick.RouterApi.Result;
+import crankwick.net.ClientReply;
 import crankwick.net.CodecFilter;
 import crankwick.net.DatabaseReply;
-import crankwick.net.FrontReply;
+import crankwick.routing.api.AttemptResult;
 import java.nio.charset.StandardCharsets;
 
 /** A database's side of PostgreSQL's protocol, for emulated ones: reads as the front does. */
-public final class PgMemberCodec extends CodecFilter {
-    private final PgFrontCodec front = new PgFrontCodec();
+public final class PgEmulatorCodec extends CodecFilter {
+    private final PgClientCodec front = new PgClientCodec();
 
     @Override
     protected Decoder newDecoder() {
@@ -17,7 +17,7 @@
 
     @Override
     public byte[] encode(Object value) {
-        if (value instanceof FrontReply) {
+        if (value instanceof ClientReply) {
             return front.encode(value);
         }
         DatabaseReply reply = (DatabaseReply) value;
@@ -25,7 +25,7 @@
         out.text("mode").text(reply.mode()).end('S');
         out.text("wal_time").text(Long.toString(reply.millis())).end('S');
         out.text("stats").text(reply.stats()).end('S');
-        if (reply.result() == Result.OK) {
+        if (reply.result() == AttemptResult.OK) {
             String text = reply.probe() ? reply.stats() : reply.value();
             byte[] row = text.getBytes(StandardCharsets.ISO_8859_1);
             out.row(row);
@@ -33,8 +33,8 @@
         } else {
             String code =
                     switch (reply.result()) {
-                        case MISS -> reply.write() ? "25006" : "72000";
-                        case FULL -> "53300";
+                        case INELIGIBLE_REPLICA -> reply.write() ? "25006" : "72000";
+                        case REJECTED_OVERLOADED -> "53300";
                         default -> "XX000";
                     };
             out.bytes(("SERROR\0C" + code + "\0Memulated " + reply.result() + "\0\0")
--- a/src/main/java/crankwick/DecayingCount.java
+++ b/src/main/java/crankwick/routing/DecayingCount.java
@@ -1,4 +1,4 @@
-package crankwick;
+package crankwick.routing;
 
 /** A count of events that fades: each counts for 1 at first and for 1/e after the time constant. */
 final class DecayingCount {
--- a/src/main/java/crankwick/FadingMean.java
+++ b/src/main/java/crankwick/routing/FadingMean.java
@@ -1,4 +1,4 @@
-package crankwick;
+package crankwick.routing;
 
 /** A smoothed mean that goes back to a resting value, in a straight line, while nothing is learnt. */
 final class FadingMean {
--- a/src/main/java/crankwick/QuantileEstimate.java
+++ b/src/main/java/crankwick/routing/QuantileEstimate.java
@@ -1,4 +1,4 @@
-package crankwick;
+package crankwick.routing;
 
 /** An estimate of one quantile of a stream of durations; each sample moves it by a share of itself. */
 final class QuantileEstimate {
