--- a/src/main/java/crankwick/Router.java
+++ b/src/main/java/crankwick/routing/Router.java
@@ -1,11 +1,31 @@
-package crankwick;
-
-// The whole interface - settings, events, actions - stands in RouterApi.java; what is kept of each server,
-// request and group is declared in RouterState.java.
-
-import crankwick.RouterState.Group;
-import crankwick.RouterState.Pending;
-import crankwick.RouterState.Server;
+package crankwick.routing;
+
+import crankwick.routing.RouterState.EndpointGroup;
+import crankwick.routing.RouterState.EndpointState;
+import crankwick.routing.RouterState.PendingRequest;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptOutcome;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.ConsistencyLevel;
+import crankwick.routing.api.DeduplicationScope;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdate;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.HealthCheckResult;
+import crankwick.routing.api.Idempotency;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.RequestAbandoned;
+import crankwick.routing.api.RequestClass;
+import crankwick.routing.api.ResponseStarted;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoleVisibility;
+import crankwick.routing.api.RoutingActions;
+import crankwick.routing.api.RoutingEvent;
+import crankwick.routing.api.RoutingRequest;
+import crankwick.routing.api.RoutingSettings;
+import crankwick.routing.api.StaleReadPolicy;
+import crankwick.routing.api.TimerFired;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -26,7 +46,7 @@
  * serves it; if none is, the read waits for the next polls and then fails with a retry-after. Writes and
  * fresh reads go to the primary. See docs/design.md.
  */
-public final class Router implements RouterApi {
+public final class Router {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
     /**
@@ -136,21 +156,27 @@
     /** A server that has left the list and was not heard for so long is forgotten. */
     private static final long GONE_MEMORY = 30 * SECOND;
     /** Outcomes that the server itself has given, and those that count against it. */
-    private static final Set<Result> LIFE = EnumSet.of(Result.OK, Result.ERROR, Result.FULL, Result.MISS);
+    private static final Set<AttemptResult> LIFE = EnumSet.of(
+            AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED_OVERLOADED, AttemptResult.INELIGIBLE_REPLICA);
     /** Outcomes that tell how long an answer takes, or has taken at least. */
-    private static final Set<Result> TIMED = EnumSet.of(Result.OK, Result.TIMEOUT, Result.CANCELLED);
+    private static final Set<AttemptResult> TIMED =
+            EnumSet.of(AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.CANCELLED);
 
-    private static final Set<Result> FAILURES =
-            EnumSet.of(Result.ERROR, Result.RESET, Result.FULL, Result.UNREACHABLE, Result.DROPPED);
+    private static final Set<AttemptResult> FAILURES = EnumSet.of(
+            AttemptResult.ERROR,
+            AttemptResult.RESET,
+            AttemptResult.REJECTED_OVERLOADED,
+            AttemptResult.UNREACHABLE,
+            AttemptResult.CONNECTION_LOST_BEFORE_SEND);
 
-    private final Settings settings;
+    private final RoutingSettings settings;
     private final SplittableRandom random;
-    private final Map<String, Server> servers = new LinkedHashMap<>();
-    private final Map<Long, Group> groups = new LinkedHashMap<>();
-    private final Map<Long, Pending> open = new HashMap<>();
+    private final Map<String, EndpointState> servers = new LinkedHashMap<>();
+    private final Map<Long, EndpointGroup> groups = new LinkedHashMap<>();
+    private final Map<Long, PendingRequest> open = new HashMap<>();
     private final List<Integer> classOrder = new ArrayList<>();
     private final List<QuantileEstimate> typicalDurations = new ArrayList<>();
-    private final List<FirstTryPatience> firstTries = new ArrayList<>();
+    private final List<DeadlineEstimator> firstTries = new ArrayList<>();
     private final double probeEarn;
     /** How many times dearer than that probes are, 1 at least. */
     private final double probePriceFactor;
@@ -168,83 +194,84 @@
     private long discoveryBackoff = DISCOVERY_BACKOFF;
     private long now;
     private long beliefSpan;
-    private Actions actions;
+    private RoutingActions actions;
 
     /** Creates a router; the same settings, seed and events give the same actions. */
-    public Router(Settings settings, long seed) {
+    public Router(RoutingSettings settings, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        List<RequestClass> classes = settings.classes();
+        List<RequestClass> classes = settings.requestClasses();
         probeEarn = Math.min(
-                PROBE_EARN, PROBE_POINTS / Math.max(1e-9, settings.prices().probe()));
-        probePriceFactor = Math.max(1, settings.prices().probe() / PROBE_PRICE);
+                PROBE_EARN, PROBE_POINTS / Math.max(1e-9, settings.costs().healthCheck()));
+        probePriceFactor = Math.max(1, settings.costs().healthCheck() / PROBE_PRICE);
         longRunningFactor = LONG_RUNNING + LONG_RUNNING_RISE * Math.log(probePriceFactor);
         for (Role role : Role.values()) {
             roleLatency.put(role, new FadingMean(ROLE_GAIN, LATENCY_CALM, LATENCY_MEMORY));
         }
         for (int i = 0; i < classes.size(); i++) {
             typicalDurations.add(new QuantileEstimate(
-                    CLASS_GAIN, CLASS_QUANTILE, classes.get(i).aim() / 8.0));
-            firstTries.add(new FirstTryPatience(GIVE_UP_MARGIN));
+                    CLASS_GAIN, CLASS_QUANTILE, classes.get(i).latencyObjective() / 8.0));
+            firstTries.add(new DeadlineEstimator(GIVE_UP_MARGIN));
             classOrder.add(i);
-            highestWorth = Math.max(highestWorth, classes.get(i).worth());
+            highestWorth = Math.max(highestWorth, classes.get(i).priorityWeight());
         }
         classOrder.sort((a, b) -> Double.compare(worthByAim(b), worthByAim(a)));
     }
 
-    private double worthByAim(int cls) {
-        return settings.classes().get(cls).worth() / settings.classes().get(cls).aim();
+    private double worthByAim(int classIndex) {
+        return settings.requestClasses().get(classIndex).priorityWeight()
+                / settings.requestClasses().get(classIndex).latencyObjective();
     }
 
     /** Takes one event at the caller's time and carries its decisions out on {@code actions}. */
-    public void handle(long time, Event event, Actions actions) {
+    public void handle(long time, RoutingEvent event, RoutingActions actions) {
         now = time;
         this.actions = actions;
         beliefSpan = beliefSpan();
-        if (event instanceof Request r) {
+        if (event instanceof RoutingRequest r) {
             onRequest(r);
-        } else if (event instanceof Outcome o) {
+        } else if (event instanceof AttemptOutcome o) {
             onOutcome(o);
-        } else if (event instanceof ProbeResult p) {
+        } else if (event instanceof HealthCheckResult p) {
             onProbe(p);
-        } else if (event instanceof Membership m) {
+        } else if (event instanceof EndpointUpdate m) {
             onMembership(m);
-        } else if (event instanceof Timer t) {
-            onTimer(t.ref());
-        } else if (event instanceof Gone g) {
-            close(open.get(g.id()));
+        } else if (event instanceof TimerFired t) {
+            onTimer(t.timerId());
+        } else if (event instanceof RequestAbandoned g) {
+            close(open.get(g.requestId()));
         } else {
-            close(open.get(((Started) event).id()));
+            close(open.get(((ResponseStarted) event).requestId()));
         }
     }
 
-    private void onRequest(Request r) {
-        RequestClass kind = settings.classes().get(r.cls());
+    private void onRequest(RoutingRequest r) {
+        RequestClass kind = settings.requestClasses().get(r.classIndex());
         // Guards against a group for each number that clients make up: one without members is not kept.
-        Group g = groups.getOrDefault(r.group(), new Group(r.group(), typicalDurations.size()));
-        Pending p = new Pending(r, kind, g, tokenOf(r, kind, g), firstAsked(r, kind));
-        open.put(r.id(), p);
+        EndpointGroup g = groups.getOrDefault(r.groupId(), new EndpointGroup(r.groupId(), typicalDurations.size()));
+        PendingRequest p = new PendingRequest(r, kind, g, tokenOf(r, kind, g), firstAsked(r, kind));
+        open.put(r.requestId(), p);
         retryBudget = Math.min(RETRY_BUDGET_MAX, retryBudget + RETRY_EARN);
         probeBudget = Math.min(PROBE_BUDGET_MAX, probeBudget + probeEarn);
-        p.group.waiting.get(r.cls()).addFirst(p);
+        p.group.waiting.get(r.classIndex()).addFirst(p);
         dispatch(p.group);
     }
 
-    private void onOutcome(Outcome o) {
-        Pending p = open.get(o.id());
-        Server s = p == null ? null : p.server;
-        if (s == null || !s.id.equals(o.server()) || o.attempt() != p.attempts - 1) {
+    private void onOutcome(AttemptOutcome o) {
+        PendingRequest p = open.get(o.requestId());
+        EndpointState s = p == null ? null : p.server;
+        if (s == null || !s.id.equals(o.endpointId()) || o.attempt() != p.attempts - 1) {
             return;
         }
         p.server = null;
-        p.group.outstanding.remove(o.id());
+        p.group.outstanding.remove(o.requestId());
         s.inFlight--;
         learnOutcome(s, p, o);
-        if (!o.result().provesNotRun() && o.result() != Result.OK && p.mayHaveRunAt == null) {
+        if (!o.result().provesNotExecuted() && o.result() != AttemptResult.OK && p.mayHaveRunAt == null) {
             p.mayHaveRunAt = s;
             p.mayHaveRunSince = p.sentAt;
         }
-        if (o.closed() || p.closed) {
+        if (o.answered() || p.closed) {
             close(p);
         } else {
             retry(p, s, o.result());
@@ -252,17 +279,18 @@
         dispatch(p.group);
     }
 
-    private void onProbe(ProbeResult p) {
-        Server s = servers.get(p.server());
+    private void onProbe(HealthCheckResult p) {
+        EndpointState s = servers.get(p.endpointId());
         if (s == null) {
             return;
         }
         s.probeOut = false;
-        if (p.result() == Result.OK || p.result() == Result.FULL) {
+        if (p.result() == AttemptResult.OK || p.result() == AttemptResult.REJECTED_OVERLOADED) {
             markAlive(s);
-        } else if (p.result() == Result.UNREACHABLE) {
+        } else if (p.result() == AttemptResult.UNREACHABLE) {
             recordUnreachable(s, p.duration());
-        } else if (p.result() == Result.STALE || p.result() == Result.DROPPED) {
+        } else if (p.result() == AttemptResult.STALE_CONNECTION
+                || p.result() == AttemptResult.CONNECTION_LOST_BEFORE_SEND) {
             s.probedAt = now - PROBE_AGAIN;
         } else {
             s.recentFaults.add(now);
@@ -271,28 +299,28 @@
         dispatch(s.group);
     }
 
-    private void onMembership(Membership m) {
-        if (m.kind() == ListKind.UNAVAILABLE) {
-            actions.arm(jitter(discoveryBackoff), WATCH_TIMER);
+    private void onMembership(EndpointUpdate m) {
+        if (m.kind() == EndpointUpdateKind.UNAVAILABLE) {
+            actions.scheduleTimer(jitter(discoveryBackoff), WATCH_TIMER);
             discoveryBackoff = Math.min(8 * DISCOVERY_BACKOFF, discoveryBackoff * 2);
             return;
         }
-        if (m.kind() == ListKind.RESTORED && settings.asksDiscovery()) {
-            actions.arm(1 + random.nextLong(100 * MS), WATCH_TIMER);
+        if (m.kind() == EndpointUpdateKind.RESTORED && settings.pollsDiscovery()) {
+            actions.scheduleTimer(1 + random.nextLong(100 * MS), WATCH_TIMER);
         } else {
             discoveryBackoff = DISCOVERY_BACKOFF;
         }
-        if (m.kind() != ListKind.CHANGES) {
+        if (m.kind() != EndpointUpdateKind.INCREMENTAL) {
             servers.values().forEach(s -> s.setListed(false, now));
         }
-        m.members().forEach(this::learnListing);
+        m.endpoints().forEach(this::learnListing);
         forgetGone();
         groups.values().forEach(this::dispatch);
     }
 
     /** Guards against keeping, for good, each server there ever was. */
     private void forgetGone() {
-        for (Group g : groups.values()) {
+        for (EndpointGroup g : groups.values()) {
             g.members.removeIf(this::isLongGone);
             g.primary = g.members.contains(g.primary) ? g.primary : null;
         }
@@ -300,7 +328,7 @@
         groups.values().removeIf(g -> g.members.isEmpty() && g.outstanding.isEmpty());
     }
 
-    private boolean isLongGone(Server s) {
+    private boolean isLongGone(EndpointState s) {
         long lastKnown = Math.max(s.unlistedAt, s.lastHeardAt);
         return !s.listed && s.inFlight == 0 && now - lastKnown > GONE_MEMORY;
     }
@@ -312,35 +340,36 @@
 
     private void onTimer(long ref) {
         if (ref == WATCH_TIMER) {
-            actions.watch();
+            actions.watchEndpoints();
         } else if (groups.containsKey(ref - 1)) {
-            Group g = groups.get(ref - 1);
+            EndpointGroup g = groups.get(ref - 1);
             g.nextLookAt = now >= g.nextLookAt ? Long.MAX_VALUE : g.nextLookAt;
             dispatch(g);
         }
     }
 
-    private Group group(long id) {
-        return groups.computeIfAbsent(id, k -> new Group(k, settings.classes().size()));
+    private EndpointGroup group(long id) {
+        return groups.computeIfAbsent(
+                id, k -> new EndpointGroup(k, settings.requestClasses().size()));
     }
 
-    private void learnListing(Member m) {
-        Server s = servers.get(m.server());
+    private void learnListing(Endpoint m) {
+        EndpointState s = servers.get(m.id());
         if (s == null) {
-            s = new Server(m, group(m.group()), new DecayingCount(FAULT_MEMORY));
+            s = new EndpointState(m, group(m.groupId()), new DecayingCount(FAULT_MEMORY));
             s.latency = LATENCY_CALM;
-            s.limit = Math.max(1, LIMIT_START / settings.instances());
+            s.limit = Math.max(1, LIMIT_START / settings.proxyCount());
             servers.put(s.id, s);
             s.group.members.add(s);
             s.group.members.sort((a, b) -> a.id.compareTo(b.id));
         }
-        s.setListed(m.standing() != Standing.GONE, now);
-        s.draining = m.standing() == Standing.DRAINING || s.draining && !s.listed;
+        s.setListed(m.status() != EndpointStatus.REMOVED, now);
+        s.draining = m.status() == EndpointStatus.DRAINING || s.draining && !s.listed;
         if (m.startedAt() > s.startedAt) {
             markRestarted(s, m.startedAt(), " started anew");
         }
         // The list's role is a hint: anything heard from the server itself is newer.
-        if (settings.listRole() != ListRole.OFF && m.role() == Role.PRIMARY && s.role == Role.UNKNOWN) {
+        if (settings.roleVisibility() != RoleVisibility.HIDDEN && m.role() == Role.PRIMARY && s.role == Role.UNKNOWN) {
             learnRole(s, Role.PRIMARY, Long.MIN_VALUE + 1);
         }
     }
@@ -349,15 +378,15 @@
      * One path for all evidence of a role; the newest wins. A primary's position is the present, so a
      * report's position dates a claim to be primary, and a later claim to be replica must lie past it.
      */
-    private void learnRole(Server s, Role role, long asOf) {
+    private void learnRole(EndpointState s, Role role, long asOf) {
         if (role == Role.UNKNOWN || asOf < s.roleAsOf) {
             return;
         }
         s.role = role;
         s.roleAsOf = asOf;
-        Server before = s.group.primary;
-        Server best = null;
-        for (Server m : s.group.members) {
+        EndpointState before = s.group.primary;
+        EndpointState best = null;
+        for (EndpointState m : s.group.members) {
             best = m.role == Role.PRIMARY && (best == null || m.roleAsOf >= best.roleAsOf) ? m : best;
         }
         s.group.primary = best;
@@ -367,19 +396,19 @@
     }
 
     /** A report counts everybody's work: what waits there, or what is held beyond a few in work. */
-    private void learnReport(Server s, Report r) {
+    private void learnReport(EndpointState s, LoadReport r) {
         if (r == null) {
             return;
         }
         s.utilization = Double.isNaN(r.utilization()) ? 0 : r.utilization();
-        double waiting = Double.isNaN(r.backlog()) ? r.inFlight() - PARALLEL : r.backlog();
+        double waiting = Double.isNaN(r.queueLength()) ? r.inFlight() - PARALLEL : r.queueLength();
         reportsLoad |= !Double.isNaN(waiting) || !Double.isNaN(r.utilization());
         s.queued = Double.isNaN(waiting) ? 0 : Math.max(0, waiting);
         s.reportAt = now;
         if (warmth(s) >= 1) {
             fleetUse += USE_GAIN * (s.utilization - fleetUse);
         }
-        if (r.position() != NONE) {
+        if (r.position() != AbsentValue.NONE) {
             s.learnPosition(r.position(), now);
             learnRole(s, r.role(), r.position());
             if (s.role == Role.REPLICA && now - s.position > LATE_LAG) {
@@ -388,9 +417,9 @@
         }
     }
 
-    private void markAlive(Server s) {
+    private void markAlive(EndpointState s) {
         s.lastHeardAt = now;
-        s.silentSince = NONE;
+        s.silentSince = AbsentValue.NONE;
         if (s.down) {
             // Guards against a restart that the list has not told yet: what refused connections and now
             // answers has a fresh process. It hurts where a connection limit was the cause: a slow start.
@@ -399,9 +428,9 @@
         }
     }
 
-    private void learnOutcome(Server s, Pending p, Outcome o) {
-        boolean commit = p.kind.need() == Need.WRITE && o.result() == Result.OK;
-        if (o.position() != NONE && (o.role() == Role.PRIMARY || o.role() == Role.REPLICA && !commit)) {
+    private void learnOutcome(EndpointState s, PendingRequest p, AttemptOutcome o) {
+        boolean commit = p.kind.consistency() == ConsistencyLevel.WRITE && o.result() == AttemptResult.OK;
+        if (o.position() != AbsentValue.NONE && (o.role() == Role.PRIMARY || o.role() == Role.REPLICA && !commit)) {
             s.learnPosition(o.position(), now);
         }
         learnRole(s, o.role(), now - 5 * MS);
@@ -412,17 +441,17 @@
         if (TIMED.contains(o.result())) {
             roleLatency.get(s.role).learn(o.duration() / typical(p), now);
         }
-        if (o.result() == Result.OK) {
+        if (o.result() == AttemptResult.OK) {
             learnDuration(s, p, o.duration());
             readmit(s, p);
         } else if (FAILURES.contains(o.result())) {
             recordFailure(s);
         }
-        if (o.result() == Result.MISS) {
+        if (o.result() == AttemptResult.INELIGIBLE_REPLICA) {
             s.missedAt = now;
-        } else if (o.result() == Result.FULL || o.result() == Result.TIMEOUT) {
+        } else if (o.result() == AttemptResult.REJECTED_OVERLOADED || o.result() == AttemptResult.TIMEOUT) {
             lowerLimit(s);
-        } else if (o.result() == Result.UNREACHABLE) {
+        } else if (o.result() == AttemptResult.UNREACHABLE) {
             recordUnreachable(s, o.duration());
         }
         if (LIFE.contains(o.result())) {
@@ -430,26 +459,26 @@
         }
     }
 
-    private void learnDuration(Server s, Pending p, long duration) {
-        typicalDurations.get(p.request.cls()).learn(duration);
+    private void learnDuration(EndpointState s, PendingRequest p, long duration) {
+        typicalDurations.get(p.request.classIndex()).learn(duration);
         s.latency = latency(s) + LATENCY_GAIN * (duration / typical(p) - latency(s));
         s.latencyAt = now;
-        if (duration > LATE_SHARE * p.kind.aim()) {
+        if (duration > LATE_SHARE * p.kind.latencyObjective()) {
             lowerLimit(s);
         } else {
             s.limit += Math.min(LIMIT_RISE * s.limit, 1 / s.limit);
         }
     }
 
-    private void lowerLimit(Server s) {
-        s.limit = Math.max(Math.min(1, LIMIT_MIN / settings.instances()), s.limit * LIMIT_CUT);
+    private void lowerLimit(EndpointState s) {
+        s.limit = Math.max(Math.min(1, LIMIT_MIN / settings.proxyCount()), s.limit * LIMIT_CUT);
     }
 
-    private double typical(Pending p) {
-        return typicalDurations.get(p.request.cls()).value();
+    private double typical(PendingRequest p) {
+        return typicalDurations.get(p.request.classIndex()).value();
     }
 
-    private double latency(Server s) {
+    private double latency(EndpointState s) {
         if (s.inFlight > 0) {
             return s.latency;
         }
@@ -466,7 +495,7 @@
     }
 
     /** Usual durations that an answer takes there: as its answers have it, or as its report does. */
-    private double expected(Server s) {
+    private double expected(EndpointState s) {
         double busy = s.utilization * s.utilization * s.utilization + s.queued * QUEUE_STEP;
         return Math.max(latency(s), LATENCY_CALM + remaining(s.reportAt, QUEUE_MEMORY) * busy);
     }
@@ -476,30 +505,32 @@
         return Math.max(0, 1 - (now - then) / (double) memory);
     }
 
-    private void rememberCommit(Pending p, long commit) {
-        if (settings.tokensCarried() || p.request.session() == NONE || commit == NONE) {
+    private void rememberCommit(PendingRequest p, long commit) {
+        if (settings.sessionTokensCarried()
+                || p.request.sessionId() == AbsentValue.NONE
+                || commit == AbsentValue.NONE) {
             return;
         }
-        p.group.tokens.remember(p.request.session(), commit);
+        p.group.tokens.remember(p.request.sessionId(), commit);
     }
 
     /** The token a read owes at its arrival; a bounded read's moves, see {@link #requiredPosition}. */
-    private long tokenOf(Request r, RequestClass kind, Group g) {
-        if (kind.need() != Need.SESSION) {
+    private long tokenOf(RoutingRequest r, RequestClass kind, EndpointGroup g) {
+        if (kind.consistency() != ConsistencyLevel.SESSION) {
             return Long.MIN_VALUE;
         }
-        if (settings.tokensCarried()) {
+        if (settings.sessionTokensCarried()) {
             return r.tokenAge() > 0 ? now - r.tokenAge() : Long.MIN_VALUE;
         }
-        return g.tokens.get(r.session());
+        return g.tokens.get(r.sessionId());
     }
 
-    private long requiredPosition(Pending p) {
-        return p.kind.need() == Need.BOUNDED ? now - p.kind.bound() : p.token;
+    private long requiredPosition(PendingRequest p) {
+        return p.kind.consistency() == ConsistencyLevel.BOUNDED_STALENESS ? now - p.kind.stalenessBound() : p.token;
     }
 
     /** Known past the token, by the position it has told. */
-    private boolean isFreshEnough(Server s, Pending p) {
+    private boolean isFreshEnough(EndpointState s, PendingRequest p) {
         long owed = requiredPosition(p);
         return owed == Long.MIN_VALUE || s.position >= owed;
     }
@@ -508,7 +539,7 @@
      * Where replicas check reads themselves: one is taken to be as far behind as when last heard, or level
      * if never. A miss costs a round trip, tells the position, and sends the read back to the wait.
      */
-    private boolean mayBeFreshEnough(Server s, Pending p) {
+    private boolean mayBeFreshEnough(EndpointState s, PendingRequest p) {
         boolean close = s.positionAt - s.position < CLOSE_BEHIND;
         long gained = Math.max(close ? CLOSE_BEHIND : 0, now - s.positionAt);
         boolean perhaps = s.position == Long.MIN_VALUE || requiredPosition(p) - s.position < gained;
@@ -516,10 +547,10 @@
     }
 
     /** Draws among the group's replicas that pass, each by its weight. */
-    private Server draw(Pending p, Predicate<Server> passes) {
-        Server pick = null;
+    private EndpointState draw(PendingRequest p, Predicate<EndpointState> passes) {
+        EndpointState pick = null;
         double total = 0;
-        for (Server s : p.group.members) {
+        for (EndpointState s : p.group.members) {
             if (s != p.group.primary && s.role != Role.PRIMARY && passes.test(s)) {
                 double weight = weight(s) * (p.tried.contains(s) ? 0.01 : 1);
                 total += weight;
@@ -529,18 +560,18 @@
         return pick;
     }
 
-    private double weight(Server s) {
+    private double weight(EndpointState s) {
         double cost = expected(s) * (s.inFlight + 1) / warmth(s);
         if (s.zone != settings.zone()) {
-            cost *= 1 + ZONE_AVERSION * settings.prices().crossZone();
+            cost *= 1 + ZONE_AVERSION * settings.costs().crossZone();
         }
         double sound = (1 - s.failures) / (1 + s.recentFaults.at(now));
         return Math.pow(cost, -DRAW_POWER) * sound * sound + 1e-12;
     }
 
-    private Server readTarget(Pending p) {
-        Server s = draw(p, m -> isFreshEnough(m, p) && isUsable(m, p));
-        if (s == null && settings.whenBehind() != WhenBehind.SERVE) {
+    private EndpointState readTarget(PendingRequest p) {
+        EndpointState s = draw(p, m -> isFreshEnough(m, p) && isUsable(m, p));
+        if (s == null && settings.staleReadPolicy() != StaleReadPolicy.SERVE) {
             s = draw(p, m -> mayBeFreshEnough(m, p) && isUsable(m, p));
         }
         return s == null && (noReplicaAnswers(p.group) || primaryIsIdle(p)) ? primaryTarget(p) : s;
@@ -552,8 +583,8 @@
      * crowded replicas beside an idle primary; it may hurt when many gateways read the same report. Where
      * they are many and no report tells load, primaries on the whole must answer as in calm.
      */
-    private boolean primaryIsIdle(Pending p) {
-        Server primary = p.group.primary;
+    private boolean primaryIsIdle(PendingRequest p) {
+        EndpointState primary = p.group.primary;
         return primary != null
                 && (reportsLoad || !isLargeFleet() || roleLatency(Role.PRIMARY) <= LATENCY_CALM)
                 && reportsIdle(primary, SPARE_USE)
@@ -564,9 +595,9 @@
     }
 
     /** Every sound replica was heard lately, and one at least is past the token. */
-    private boolean replicasFull(Pending p) {
+    private boolean replicasFull(PendingRequest p) {
         boolean past = false;
-        for (Server s : p.group.members) {
+        for (EndpointState s : p.group.members) {
             if (s != p.group.primary && s.role != Role.PRIMARY && isHealthy(s)) {
                 if (!isRecentlyHeard(s)) {
                     return false;
@@ -581,9 +612,9 @@
      * Exception to the design: with every replica gone, failing or long silent, nobody else can answer, so
      * reads may use the primary until a replica answers again. May hurt where the primary has no room.
      */
-    private boolean noReplicaAnswers(Group g) {
-        for (Server s : g.members) {
-            if (s != g.primary && isListed(s) && s.ejectedUntil == NONE && !isSilent(s, LOST_AFTER)) {
+    private boolean noReplicaAnswers(EndpointGroup g) {
+        for (EndpointState s : g.members) {
+            if (s != g.primary && isListed(s) && s.ejectedUntil == AbsentValue.NONE && !isSilent(s, LOST_AFTER)) {
                 return false;
             }
         }
@@ -591,11 +622,11 @@
     }
 
     /** After any news of a group: what can go goes, what must be known is asked, the next look is armed. */
-    private void dispatch(Group g) {
+    private void dispatch(EndpointGroup g) {
         checkAttempts(g);
         for (boolean onTime : new boolean[] {true, false}) {
-            for (int cls : classOrder) {
-                dispatchQueue(g, cls, onTime);
+            for (int classIndex : classOrder) {
+                dispatchQueue(g, classIndex, onTime);
             }
         }
         probeForEvidence(g);
@@ -606,18 +637,18 @@
      * What can still make its aim goes first, the worthiest class first, then what is late. In a class the
      * newest goes first: in overload the oldest would each be served just too late.
      */
-    private void dispatchQueue(Group g, int cls, boolean onTime) {
+    private void dispatchQueue(EndpointGroup g, int classIndex, boolean onTime) {
         boolean full = false;
-        Iterator<Pending> it = g.waiting.get(cls).iterator();
+        Iterator<PendingRequest> it = g.waiting.get(classIndex).iterator();
         while (it.hasNext()) {
-            Pending p = it.next();
+            PendingRequest p = it.next();
             if (p.closed) {
                 it.remove();
             } else if (now + calmDuration(p) > lastUsefulAt(p) || hasNoMembers(g)) {
                 it.remove();
                 giveUp(p);
-            } else if (!full && onTime == now + calmDuration(p) < p.askedAt + p.kind.aim()) {
-                Server s = needsPrimary(p) ? primaryTarget(p) : readTarget(p);
+            } else if (!full && onTime == now + calmDuration(p) < p.askedAt + p.kind.latencyObjective()) {
+                EndpointState s = needsPrimary(p) ? primaryTarget(p) : readTarget(p);
                 if (s != null) {
                     it.remove();
                     send(p, s);
@@ -628,14 +659,14 @@
         }
     }
 
-    private double calmDuration(Pending p) {
+    private double calmDuration(PendingRequest p) {
         return typical(p) * LATENCY_CALM;
     }
 
     /** The last moment at which an answer is worth anything. */
-    private long lastUsefulAt(Pending p) {
-        long last = p.request.expires() - GIVE_UP_MARGIN;
-        return p.kind.lateWorth() > 0 ? last : Math.min(last, p.askedAt + p.kind.aim());
+    private long lastUsefulAt(PendingRequest p) {
+        long last = p.request.expiresAt() - GIVE_UP_MARGIN;
+        return p.kind.lateWeight() > 0 ? last : Math.min(last, p.askedAt + p.kind.latencyObjective());
     }
 
     /**
@@ -643,18 +674,18 @@
      * a time that is not the typical one tells when the client first asked, and its aim counts from then.
      * Guards against work for retries that can only come too late; it may hurt where patience differs.
      */
-    private long firstAsked(Request r, RequestClass kind) {
-        long left = r.expires() - now;
-        if (left < IMPATIENT_SHARE * kind.aim()) {
+    private long firstAsked(RoutingRequest r, RequestClass kind) {
+        long left = r.expiresAt() - now;
+        if (left < IMPATIENT_SHARE * kind.latencyObjective()) {
             return now;
         }
-        boolean first = firstTries.get(r.cls()).isFirstTry(left);
-        return first ? now : Math.min(now, r.expires() - kind.deadline());
+        boolean first = firstTries.get(r.classIndex()).isFirstAttempt(left);
+        return first ? now : Math.min(now, r.expiresAt() - kind.deadline());
     }
 
     /** Load shedding: no member gets what it can't be expected to answer in time; late work only if calm. */
-    private boolean isInTime(Server s, Pending p) {
-        long aim = p.kind.aim();
+    private boolean isInTime(EndpointState s, PendingRequest p) {
+        long aim = p.kind.latencyObjective();
         double done = now + typical(p) * expected(s);
         double latest = Math.max(p.askedAt + aim, now + aim / 2);
         return !isOverloaded(s, p) && done < Math.min(lastUsefulAt(p), latest);
@@ -664,22 +695,22 @@
      * A replica busy and behind takes only what is worth it. With more gateways than it bears requests, their
      * own limits can't keep its log's thread from starving. It may hurt where lag has another cause.
      */
-    private boolean isOverloaded(Server s, Pending p) {
+    private boolean isOverloaded(EndpointState s, PendingRequest p) {
         return isLargeFleet()
                 && now - s.reportAt <= FRESH
                 && s.utilization > FULL_USE
                 && s.role == Role.REPLICA
-                && s.positionAt - s.position > OVERLOADED_LAG * p.kind.worth() / highestWorth;
+                && s.positionAt - s.position > OVERLOADED_LAG * p.kind.priorityWeight() / highestWorth;
     }
 
     /** More gateways than a member bears requests: their own limits, one request at least, bind nobody. */
     private boolean isLargeFleet() {
-        return settings.instances() > LIMIT_START;
+        return settings.proxyCount() > LIMIT_START;
     }
 
     /** No member is known, as after a restart with an empty list: another gateway may know one. */
-    private boolean hasNoMembers(Group g) {
-        for (Server s : g.members) {
+    private boolean hasNoMembers(EndpointGroup g) {
+        for (EndpointState s : g.members) {
             if (isListed(s)) {
                 return false;
             }
@@ -687,26 +718,26 @@
         return true;
     }
 
-    private void giveUp(Pending p) {
+    private void giveUp(PendingRequest p) {
         if (mayRefuse(p)) {
-            long away = hasNoMembers(p.group) ? PROBE_AGAIN : p.kind.aim() * 2;
+            long away = hasNoMembers(p.group) ? PROBE_AGAIN : p.kind.latencyObjective() * 2;
             long after = Math.min(settings.limits().maxRetryAfter(), jitter(away));
-            actions.refuse(p.request.id(), settings.limits().retryAfter() ? after : 0);
+            actions.reject(p.request.requestId(), settings.limits().retryAfterSupported() ? after : 0);
         } else {
-            actions.fail(p.request.id());
+            actions.fail(p.request.requestId());
         }
         close(p);
     }
 
     /** The request has its final answer; it is kept only while an attempt is still out. */
-    private void close(Pending p) {
+    private void close(PendingRequest p) {
         if (p == null) {
             return;
         }
         p.closed = true;
         p.group.primarySeeker = p.group.primarySeeker == p ? null : p.group.primarySeeker;
         if (p.server == null) {
-            open.remove(p.request.id());
+            open.remove(p.request.requestId());
         }
     }
 
@@ -714,12 +745,12 @@
      * Evidence is fetched when something waits and nobody who could serve it was heard lately: one replica at
      * a time, or all who may be the primary. Probes are priced, so they are earned by requests.
      */
-    private void probeForEvidence(Group g) {
-        if (!settings.limits().probes()) {
+    private void probeForEvidence(EndpointGroup g) {
+        if (!settings.limits().healthChecksAllowed()) {
             return;
         }
-        for (ArrayDeque<Pending> queue : g.waiting) {
-            for (Pending p : queue) {
+        for (ArrayDeque<PendingRequest> queue : g.waiting) {
+            for (PendingRequest p : queue) {
                 if (needsPrimary(p)) {
                     probePrimary(g);
                     break;
@@ -729,24 +760,24 @@
         }
     }
 
-    private void probePrimary(Group g) {
+    private void probePrimary(EndpointGroup g) {
         boolean doubted = !isHealthy(g.primary) || isSilent(g.primary, PROBE_WAIT);
-        for (Server s : g.members) {
+        for (EndpointState s : g.members) {
             if ((doubted || s == g.primary && !isRecentlyHeard(s)) && mayProbe(s)) {
                 probe(s);
             }
         }
     }
 
-    private void probeReplica(Pending p) {
-        Server primary = p.group.primary;
-        for (Server s : p.group.members) {
+    private void probeReplica(PendingRequest p) {
+        EndpointState primary = p.group.primary;
+        for (EndpointState s : p.group.members) {
             boolean serves = isHealthy(s) && isRecentlyHeard(s) && isFreshEnough(s, p) && isInTime(s, p);
             if (s != primary && isListed(s) && (serves || s.probeOut && !isSilent(s, PROBE_WAIT))) {
                 return;
             }
         }
-        Server pick = draw(p, s -> mayProbe(s) && isWorthProbing(s, p));
+        EndpointState pick = draw(p, s -> mayProbe(s) && isWorthProbing(s, p));
         boolean reportIsOld = primary != null && now - primary.reportAt > FRESH;
         if (pick != null) {
             probe(pick);
@@ -756,7 +787,7 @@
     }
 
     /** Its answer may let the read go, and it is not silent or far behind, unless last probed long ago. */
-    private boolean isWorthProbing(Server s, Pending p) {
+    private boolean isWorthProbing(EndpointState s, PendingRequest p) {
         boolean mayTell = reportsLoad || !isRecentlyHeard(s) || !isFreshEnough(s, p);
         if (!mayTell || now - s.probedAt > PROBE_FAR * probePriceFactor) {
             return mayTell;
@@ -765,28 +796,28 @@
         return !isSilent(s, PROBE_WAIT) && (isFreshEnough(s, p) || requiredPosition(p) - s.position < reach);
     }
 
-    private boolean mayProbe(Server s) {
+    private boolean mayProbe(EndpointState s) {
         boolean rested = now - s.probedAt >= PROBE_AGAIN * probePriceFactor;
         return isListed(s) && !s.probeOut && rested && probeBudget >= 1;
     }
 
-    private void probe(Server s) {
+    private void probe(EndpointState s) {
         probeBudget--;
         s.probeOut = true;
         s.probedAt = now;
-        s.silentSince = s.silentSince == NONE ? now : s.silentSince;
-        actions.probe(s.id);
+        s.silentSince = s.silentSince == AbsentValue.NONE ? now : s.silentSince;
+        actions.checkHealth(s.id);
     }
 
     /** Arms for the next moment at which something is due, unless an earlier look is armed already. */
-    private void schedule(Group g) {
+    private void schedule(EndpointGroup g) {
         long due = g.waiting.stream().allMatch(ArrayDeque::isEmpty) ? Long.MAX_VALUE : now + PROBE_WAIT;
-        for (Pending p : g.outstanding.values()) {
+        for (PendingRequest p : g.outstanding.values()) {
             due = Math.min(due, p.checkAt);
         }
         if (due < g.nextLookAt) {
             g.nextLookAt = Math.max(due, now + MS);
-            actions.arm(g.nextLookAt - now, g.id + 1);
+            actions.scheduleTimer(g.nextLookAt - now, g.id + 1);
         }
     }
 
@@ -794,20 +825,20 @@
         return (long) (span * (0.8 + 0.4 * random.nextDouble()));
     }
 
-    private boolean needsPrimary(Pending p) {
-        return p.kind.need() == Need.WRITE || p.kind.need() == Need.FRESH;
+    private boolean needsPrimary(PendingRequest p) {
+        return p.kind.consistency() == ConsistencyLevel.WRITE || p.kind.consistency() == ConsistencyLevel.STRONG;
     }
 
     /** The primary; while none is known, one write at a time tries each other member once. */
-    private Server primaryTarget(Pending p) {
-        Group g = p.group;
+    private EndpointState primaryTarget(PendingRequest p) {
+        EndpointGroup g = p.group;
         if (g.primary != null) {
             return isUsable(g.primary, p) ? g.primary : null;
         }
-        if (g.primarySeeker != null && g.primarySeeker != p || p.kind.need() != Need.WRITE) {
+        if (g.primarySeeker != null && g.primarySeeker != p || p.kind.consistency() != ConsistencyLevel.WRITE) {
             return null;
         }
-        for (Server s : g.members) {
+        for (EndpointState s : g.members) {
             boolean open = s.role == Role.UNKNOWN || now - s.roleAsOf > ROLE_MEMORY;
             if (open && isUsable(s, p) && !p.tried.contains(s)) {
                 g.primarySeeker = p;
@@ -817,59 +848,61 @@
         return null;
     }
 
-    private void send(Pending p, Server s) {
+    private void send(PendingRequest p, EndpointState s) {
         p.attempts++;
         p.server = s;
         p.sentAt = now;
-        p.checkAt = p.kind.repeat() == Repeat.SAFE && settings.limits().probes()
+        p.checkAt = p.kind.idempotency() == Idempotency.IDEMPOTENT
+                        && settings.limits().healthChecksAllowed()
                 ? now + (long) (longRunningFactor * typical(p) * expected(s))
                 : Long.MAX_VALUE;
-        p.group.outstanding.put(p.request.id(), p);
+        p.group.outstanding.put(p.request.requestId(), p);
         s.inFlight++;
         s.sentAt = now;
         s.coldCredit--;
         sends.add(now);
-        if (s.ejectedUntil != NONE) {
+        if (s.ejectedUntil != AbsentValue.NONE) {
             eject(s);
         }
-        actions.send(p.request.id(), s.id, NONE);
+        actions.send(p.request.requestId(), s.id, AbsentValue.NONE);
     }
 
-    private boolean mayRefuse(Pending p) {
-        return p.kind.repeat() == Repeat.SAFE
+    private boolean mayRefuse(PendingRequest p) {
+        return p.kind.idempotency() == Idempotency.IDEMPOTENT
                 || p.mayHaveRunAt == null
-                || p.kind.repeat() == Repeat.KEYED && p.kind.scope() == Scope.ALL;
+                || p.kind.idempotency() == Idempotency.WITH_KEY
+                        && p.kind.deduplicationScope() == DeduplicationScope.FLEET;
     }
 
-    private boolean repeatAllowedAt(Pending p, Server s) {
+    private boolean repeatAllowedAt(PendingRequest p, EndpointState s) {
         return p.mayHaveRunAt == null
-                || p.kind.repeat() == Repeat.SAFE
-                || p.kind.repeat() == Repeat.KEYED
+                || p.kind.idempotency() == Idempotency.IDEMPOTENT
+                || p.kind.idempotency() == Idempotency.WITH_KEY
                         && now - p.mayHaveRunSince < p.kind.keyTtl()
-                        && (p.kind.scope() != Scope.ZONE || s.zone == p.mayHaveRunAt.zone);
+                        && (p.kind.deduplicationScope() != DeduplicationScope.ZONE || s.zone == p.mayHaveRunAt.zone);
     }
 
-    private boolean mayResend(Pending p) {
+    private boolean mayResend(PendingRequest p) {
         return p.attempts < settings.limits().maxAttempts()
-                && now < p.request.expires() - GIVE_UP_MARGIN
+                && now < p.request.expiresAt() - GIVE_UP_MARGIN
                 && repeatAllowedAt(p, p.mayHaveRunAt);
     }
 
-    private void retry(Pending p, Server s, Result result) {
+    private void retry(PendingRequest p, EndpointState s, AttemptResult result) {
         p.tried.add(s);
         p.group.primarySeeker = p.group.primarySeeker == p ? null : p.group.primarySeeker;
-        int price = result == Result.MISS || result == Result.STALE ? 0 : 1;
+        int price = result == AttemptResult.INELIGIBLE_REPLICA || result == AttemptResult.STALE_CONNECTION ? 0 : 1;
         if (mayResend(p) && retryBudget >= price) {
             retryBudget -= price;
-            p.group.waiting.get(p.request.cls()).addFirst(p);
+            p.group.waiting.get(p.request.classIndex()).addFirst(p);
         } else {
             giveUp(p);
         }
     }
 
     /** Long work makes its member be asked; if that is silent, or free, safe work is withdrawn. */
-    private void checkAttempts(Group g) {
-        for (Pending p : g.outstanding.values()) {
+    private void checkAttempts(EndpointGroup g) {
+        for (PendingRequest p : g.outstanding.values()) {
             if (p.checkAt > now || p.closed) {
                 continue;
             }
@@ -878,35 +911,37 @@
                 if (now - p.server.lastHeardAt > SILENCE && mayProbe(p.server)) {
                     probe(p.server);
                 }
-            } else if (settings.limits().cancels() && mayResend(p) && retryBudget >= 1) {
+            } else if (settings.limits().cancellationAllowed() && mayResend(p) && retryBudget >= 1) {
                 p.checkAt = Long.MAX_VALUE;
-                actions.cancel(p.request.id(), p.attempts - 1);
+                actions.cancelAttempt(p.request.requestId(), p.attempts - 1);
             }
         }
     }
 
     /** Much longer out than is expected at a member that answers and shows no load: likely lost. */
-    private boolean looksLost(Pending p) {
+    private boolean looksLost(PendingRequest p) {
         double expected = Math.max(expected(p.server), roleLatency(p.server.role));
         boolean overdue = now - p.sentAt > OVERDUE * typical(p) * expected;
         return overdue && now + calmDuration(p) < lastUsefulAt(p) && reportsIdle(p.server, FULL_USE);
     }
 
-    private boolean reportsIdle(Server s, double use) {
+    private boolean reportsIdle(EndpointState s, double use) {
         return now - s.reportAt <= FRESH && s.queued == 0 && s.utilization < use;
     }
 
-    private boolean isListed(Server s) {
-        return !s.draining && (s.listed || settings.rules().onlyDrainingBinds());
+    private boolean isListed(EndpointState s) {
+        return !s.draining && (s.listed || settings.rules().unlistedEndpointsUsable());
     }
 
     /** Asked for so long and not heard since, whatever the cause: a stall, a hang, a cut, a dead process. */
-    private boolean isSilent(Server s, long span) {
-        return settings.limits().probes() && s.silentSince != NONE && now - s.silentSince > span;
+    private boolean isSilent(EndpointState s, long span) {
+        return settings.limits().healthChecksAllowed()
+                && s.silentSince != AbsentValue.NONE
+                && now - s.silentSince > span;
     }
 
-    private boolean isHealthy(Server s) {
-        return s != null && isListed(s) && s.ejectedUntil == NONE && !isSilent(s, SILENCE);
+    private boolean isHealthy(EndpointState s) {
+        return s != null && isListed(s) && s.ejectedUntil == AbsentValue.NONE && !isSilent(s, SILENCE);
     }
 
     /**
@@ -924,16 +959,16 @@
      * against all silences since; it costs a probe and a round trip where little is heard. With no probe
      * earned nobody can be asked, and work that waits for news of members is lost for certain.
      */
-    private boolean isRecentlyHeard(Server s) {
+    private boolean isRecentlyHeard(EndpointState s) {
         long span = s == s.group.primary ? (long) Math.min(RATE_SPAN, FRESH * probePriceFactor) : beliefSpan;
         boolean believed = now - s.lastHeardAt <= span || s.lastHeardAt == RouterState.NEVER;
-        return !settings.limits().probes() || !isSilent(s, PROBE_WAIT) && (believed || probeBudget < 1);
+        return !settings.limits().healthChecksAllowed() || !isSilent(s, PROBE_WAIT) && (believed || probeBudget < 1);
     }
 
-    private boolean isUsable(Server s, Pending p) {
+    private boolean isUsable(EndpointState s, PendingRequest p) {
         boolean trial = s.ejectedUntil <= now && s.inFlight == 0;
         return isListed(s)
-                && (s.ejectedUntil == NONE || trial)
+                && (s.ejectedUntil == AbsentValue.NONE || trial)
                 && isRecentlyHeard(s)
                 && repeatAllowedAt(p, s)
                 && hasRoom(s, p)
@@ -944,18 +979,18 @@
      * The limit follows the answers' lateness; under one request it spaces the sends. It guards against the
      * queues of all gateways together, and any slowing. It may hurt when a class is slow by nature.
      */
-    private boolean hasRoom(Server s, Pending p) {
+    private boolean hasRoom(EndpointState s, PendingRequest p) {
         double warmth = warmth(s);
         return s.inFlight < Math.max(1, s.limit * warmth * warmth)
                 && (warmth >= 1 || coldBudgetLeft(s))
                 && (s.limit >= 1 || now - s.sentAt >= typical(p) * latency(s) / s.limit);
     }
 
-    private void recordUnreachable(Server s, long duration) {
+    private void recordUnreachable(EndpointState s, long duration) {
         // Refused at once: the process is down. Not connected in time: cut off or at its limit.
         s.down |= duration < settings.limits().connectTimeout() * 0.8;
-        s.silentSince = Math.min(s.silentSince == NONE ? now : s.silentSince, now - LOST_AFTER - 1);
-        if (!settings.limits().probes()) {
+        s.silentSince = Math.min(s.silentSince == AbsentValue.NONE ? now : s.silentSince, now - LOST_AFTER - 1);
+        if (!settings.limits().healthChecksAllowed()) {
             s.failures = 1;
             recordFailure(s);
         }
@@ -965,10 +1000,10 @@
      * Outlier ejection: a member that fails its work is left out until a trial after a backoff succeeds. It
      * may hurt when all members fail for one outside cause: each then gets only trials.
      */
-    private void recordFailure(Server s) {
+    private void recordFailure(EndpointState s) {
         s.failures += FAILURE_GAIN * (1 - s.failures);
         if (s.failures > EJECT_FAILURES && s.ejectedUntil <= now) {
-            if (s.ejectedUntil == NONE) {
+            if (s.ejectedUntil == AbsentValue.NONE) {
                 actions.log(s.id + " ejected: fails");
                 s.ejectedSince = now;
             }
@@ -976,25 +1011,25 @@
         }
     }
 
-    private void eject(Server s) {
+    private void eject(EndpointState s) {
         s.recentFaults.add(now);
         double span = EJECT_FIRST * Math.pow(2, s.recentFaults.at(now) - 1);
         s.ejectedUntil = now + jitter((long) Math.min(EJECT_MAX, span));
     }
 
     /** What was sent before a failing member's ejection proves nothing: only a trial readmits it. */
-    private void readmit(Server s, Pending p) {
+    private void readmit(EndpointState s, PendingRequest p) {
         s.failures *= 1 - FAILURE_GAIN;
-        if (s.ejectedUntil != NONE && (p.sentAt > s.ejectedSince || s.failures < EJECT_FAILURES / 2)) {
+        if (s.ejectedUntil != AbsentValue.NONE && (p.sentAt > s.ejectedSince || s.failures < EJECT_FAILURES / 2)) {
             actions.log(s.id + " readmitted");
-            s.ejectedUntil = NONE;
+            s.ejectedUntil = AbsentValue.NONE;
             s.failures = Math.min(s.failures, EJECT_FAILURES / 2);
         }
     }
 
     /** The share of its capacity that a member has for certain, by the settings' worst case. */
-    private double warmth(Server s) {
-        long ramp = settings.rules().rampTime();
+    private double warmth(EndpointState s) {
+        long ramp = settings.rules().slowStartDuration();
         if (s.startedAt <= 0 || now - s.startedAt >= ramp) {
             return 1;
         }
@@ -1003,15 +1038,15 @@
     }
 
     /** The start of a process; each gateway's budget begins at a random point: not all send at once. */
-    private void markRestarted(Server s, long at, String how) {
-        if (now - at < settings.rules().rampTime()) {
+    private void markRestarted(EndpointState s, long at, String how) {
+        if (now - at < settings.rules().slowStartDuration()) {
             actions.log(s.id + how + ", taken as cold");
         }
         s.startedAt = at;
         s.latency = LATENCY_CALM;
         // What an earlier process failed at proves nothing of this one.
         s.failures = 0;
-        s.ejectedUntil = NONE;
+        s.ejectedUntil = AbsentValue.NONE;
         s.coldCredit = random.nextDouble();
         s.creditAt = now;
     }
@@ -1021,15 +1056,15 @@
      * member, at their mean use, tells its part of a warm one's capacity, also where a whole group is cold;
      * all gateways doing so keep the sum under the multiple.
      */
-    private boolean coldBudgetLeft(Server s) {
+    private boolean coldBudgetLeft(EndpointState s) {
         long warm = Math.max(
                 1,
                 servers.values().stream()
                         .filter(m -> isListed(m) && warmth(m) >= 1)
                         .count());
         double capacity = sends.at(now) * SECOND / RATE_SPAN / warm / Math.max(USE_LEAST, fleetUse);
-        double allowed = COLD_SHARE * settings.rules().fallMultiple() * warmth(s) * capacity;
-        double rate = Math.max(LIMIT_MIN / settings.instances(), allowed);
+        double allowed = COLD_SHARE * settings.rules().overloadMultiple() * warmth(s) * capacity;
+        double rate = Math.max(LIMIT_MIN / settings.proxyCount(), allowed);
         s.coldCredit = Math.min(1.5, s.coldCredit + rate * (now - s.creditAt) / SECOND);
         s.creditAt = now;
         return s.coldCredit >= 1;
--- a/src/main/java/crankwick/RouterState.java
+++ b/src/main/java/crankwick/routing/RouterState.java
@@ -1,9 +1,10 @@
-package crankwick;
+package crankwick.routing;
 
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Request;
-import crankwick.RouterApi.RequestClass;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.RequestClass;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingRequest;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -17,10 +18,10 @@
     private RouterState() {}
 
     /** A member of a group, as this gateway knows it. */
-    static final class Server {
+    static final class EndpointState {
         final String id;
         final int zone;
-        final Group group;
+        final EndpointGroup group;
         boolean listed = true;
         long unlistedAt = NEVER;
         boolean draining;
@@ -49,20 +50,20 @@
         long lastHeardAt = NEVER;
         long probedAt = NEVER;
         boolean probeOut;
-        /** The first probe since it was last heard, or NONE. */
-        long silentSince = RouterApi.NONE;
+        /** The first probe since it was last heard, or AbsentValue.NONE. */
+        long silentSince = AbsentValue.NONE;
         /** It refused to connect, and was not heard since. */
         boolean down;
         /** Smoothed share of attempts that fail; when it was ejected and until when; faults that fade. */
         double failures;
 
         long ejectedSince;
-        long ejectedUntil = RouterApi.NONE;
+        long ejectedUntil = AbsentValue.NONE;
         final DecayingCount recentFaults;
 
-        Server(Member m, Group group, DecayingCount recentFaults) {
+        EndpointState(Endpoint m, EndpointGroup group, DecayingCount recentFaults) {
             this.recentFaults = recentFaults;
-            id = m.server();
+            id = m.id();
             zone = m.zone();
             this.group = group;
         }
@@ -83,26 +84,26 @@
     }
 
     /** A request that is owed its final answer, or whose attempt is still out. */
-    static final class Pending {
-        final Request request;
+    static final class PendingRequest {
+        final RoutingRequest request;
         final RequestClass kind;
-        final Group group;
+        final EndpointGroup group;
         final long token;
         /** When its client first asked. */
         final long askedAt;
 
-        final List<Server> tried = new ArrayList<>(2);
+        final List<EndpointState> tried = new ArrayList<>(2);
         int attempts;
-        Server server;
+        EndpointState server;
         long sentAt;
         long checkAt;
         boolean closed;
         /** Where an attempt may have run, and when that was sent. */
-        Server mayHaveRunAt;
+        EndpointState mayHaveRunAt;
 
         long mayHaveRunSince;
 
-        Pending(Request request, RequestClass kind, Group group, long token, long askedAt) {
+        PendingRequest(RoutingRequest request, RequestClass kind, EndpointGroup group, long token, long askedAt) {
             this.request = request;
             this.kind = kind;
             this.group = group;
@@ -112,23 +113,23 @@
     }
 
     /** A primary and its replicas, with what waits for them. */
-    static final class Group {
+    static final class EndpointGroup {
         final long id;
-        final List<Server> members = new ArrayList<>();
+        final List<EndpointState> members = new ArrayList<>();
         /** One queue a class. */
-        final List<ArrayDeque<Pending>> waiting = new ArrayList<>();
+        final List<ArrayDeque<PendingRequest>> waiting = new ArrayList<>();
         /** Last commits by session. */
-        final SessionPositions tokens = new SessionPositions();
+        final SessionTokenStore tokens = new SessionTokenStore();
 
-        final LinkedHashMap<Long, Pending> outstanding = new LinkedHashMap<>();
+        final LinkedHashMap<Long, PendingRequest> outstanding = new LinkedHashMap<>();
         /** The earliest look that is armed. */
         long nextLookAt = Long.MAX_VALUE;
 
-        Server primary;
+        EndpointState primary;
         /** The write that seeks the primary. */
-        Pending primarySeeker;
+        PendingRequest primarySeeker;
 
-        Group(long id, int classes) {
+        EndpointGroup(long id, int classes) {
             this.id = id;
             for (int i = 0; i < classes; i++) {
                 waiting.add(new ArrayDeque<>());
--- /dev/null
+++ b/src/main/java/crankwick/routing/api/ConsistencyLevel.java
@@ -0,0 +1,10 @@
+package crankwick.routing.api;
+
+/** What a request needs of the data it meets. */
+public enum ConsistencyLevel {
+    WRITE,
+    STRONG,
+    SESSION,
+    BOUNDED_STALENESS,
+    EVENTUAL
+}
--- /dev/null
+++ b/src/main/java/crankwick/routing/api/DeduplicationScope.java
@@ -0,0 +1,8 @@
+package crankwick.routing.api;
+
+/** Which servers discard the repeats of a keyed request. */
+public enum DeduplicationScope {
+    FLEET,
+    ZONE,
+    GROUP
+}
--- /dev/null
+++ b/src/main/java/crankwick/routing/api/EndpointStatus.java
@@ -0,0 +1,8 @@
+package crankwick.routing.api;
+
+/** A server's standing in the list. */
+public enum EndpointStatus {
+    LIVE,
+    DRAINING,
+    REMOVED
+}
--- /dev/null
+++ b/src/main/java/crankwick/routing/api/EndpointUpdateKind.java
@@ -0,0 +1,9 @@
+package crankwick.routing.api;
+
+/** What a membership event brings. */
+public enum EndpointUpdateKind {
+    INCREMENTAL,
+    FULL,
+    RESTORED,
+    UNAVAILABLE
+}
--- a/src/main/java/crankwick/simhost/SettingsCodec.java
+++ b/src/main/java/crankwick/settings/SettingsCodec.java
@@ -1,17 +1,20 @@
-package crankwick.simhost;
+package crankwick.settings;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
-import crankwick.RouterApi;
-import crankwick.RouterApi.ListRole;
-import crankwick.RouterApi.Need;
-import crankwick.RouterApi.Repeat;
-import crankwick.RouterApi.RequestClass;
-import crankwick.RouterApi.Scope;
-import crankwick.RouterApi.WhenBehind;
+import crankwick.routing.api.ConsistencyLevel;
+import crankwick.routing.api.CostWeights;
+import crankwick.routing.api.DeduplicationScope;
+import crankwick.routing.api.Idempotency;
+import crankwick.routing.api.RequestClass;
+import crankwick.routing.api.RoleVisibility;
+import crankwick.routing.api.RoutingLimits;
+import crankwick.routing.api.RoutingRules;
+import crankwick.routing.api.RoutingSettings;
+import crankwick.routing.api.StaleReadPolicy;
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 import java.util.ArrayList;
@@ -20,28 +23,29 @@
 
 /** Translates the wire's settings; values that are not named there are ignored. */
 public final class SettingsCodec {
-    private static final Map<String, Need> NEEDS = Map.of(
+    private static final Map<String, ConsistencyLevel> NEEDS = Map.of(
             "write",
-            Need.WRITE,
+            ConsistencyLevel.WRITE,
             "fresh",
-            Need.FRESH,
+            ConsistencyLevel.STRONG,
             "session",
-            Need.SESSION,
+            ConsistencyLevel.SESSION,
             "bounded",
-            Need.BOUNDED,
+            ConsistencyLevel.BOUNDED_STALENESS,
             "any",
-            Need.ANY);
-    private static final Map<String, Repeat> REPEATS =
-            Map.of("safe", Repeat.SAFE, "keyed", Repeat.KEYED, "unsafe", Repeat.UNSAFE);
-    private static final Map<String, Scope> SCOPES = Map.of("all", Scope.ALL, "zone", Scope.ZONE, "cell", Scope.GROUP);
-    private static final Map<String, WhenBehind> BEHIND =
-            Map.of("off", WhenBehind.SERVE, "refuse", WhenBehind.REFUSE, "wait", WhenBehind.WAIT);
-    private static final Map<String, ListRole> LIST_ROLES =
-            Map.of("off", ListRole.OFF, "start", ListRole.START, "late", ListRole.LATE);
-
-    public final RouterApi.Settings settings;
-    final long zero;
-    final List<String> reportFields = new ArrayList<>();
+            ConsistencyLevel.EVENTUAL);
+    private static final Map<String, Idempotency> REPEATS =
+            Map.of("safe", Idempotency.IDEMPOTENT, "keyed", Idempotency.WITH_KEY, "unsafe", Idempotency.NON_IDEMPOTENT);
+    private static final Map<String, DeduplicationScope> SCOPES =
+            Map.of("all", DeduplicationScope.FLEET, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.GROUP);
+    private static final Map<String, StaleReadPolicy> BEHIND =
+            Map.of("off", StaleReadPolicy.SERVE, "refuse", StaleReadPolicy.REJECT, "wait", StaleReadPolicy.WAIT);
+    private static final Map<String, RoleVisibility> LIST_ROLES =
+            Map.of("off", RoleVisibility.HIDDEN, "start", RoleVisibility.AT_START, "late", RoleVisibility.DELAYED);
+
+    private final RoutingSettings settings;
+    private final long timeOrigin;
+    private final List<String> reportFields;
 
     private final JsonObject root;
 
@@ -53,13 +57,9 @@
             throw new IllegalArgumentException("unusable setting: config is not a JSON object", e);
         }
         JsonObject family = object("family-info");
-        zero = micros(family, "family-info.counted-from-ms");
-        if (root.has("report") && object("report").has("fields")) {
-            for (JsonElement field : array(object("report"), "report.fields")) {
-                reportFields.add(text(field, "report.fields"));
-            }
-        }
-        settings = new RouterApi.Settings(
+        timeOrigin = micros(family, "family-info.counted-from-ms");
+        reportFields = readReportFields();
+        settings = new RoutingSettings(
                 (int) number(root, "balancers"),
                 (int) number(root, "my-zone"),
                 "ask".equals(word(root, "discovery")),
@@ -73,6 +73,32 @@
                 classes(family));
     }
 
+    private List<String> readReportFields() {
+        if (!root.has("report") || !object("report").has("fields")) {
+            return List.of();
+        }
+        List<String> fields = new ArrayList<>();
+        for (JsonElement field : array(object("report"), "report.fields")) {
+            fields.add(text(field, "report.fields"));
+        }
+        return List.copyOf(fields);
+    }
+
+    /** The settings in the routing module's terms. */
+    public RoutingSettings routingSettings() {
+        return settings;
+    }
+
+    /** The time from which positions are counted, in microseconds of Unix time. */
+    public long timeOrigin() {
+        return timeOrigin;
+    }
+
+    /** The names of a load report's fields, in the order of its figures. */
+    public List<String> reportFields() {
+        return reportFields;
+    }
+
     /** The classes' names, in order; only a real proxy needs them. */
     public List<String> classNames() {
         List<String> names = new ArrayList<>();
@@ -109,7 +135,7 @@
                 throw unusable("classes[" + i + "]");
             }
             JsonObject c = all.get(i).getAsJsonObject();
-            Need need = NEEDS.get(text(needs.get(i), "family-info.freshness[" + i + "]"));
+            ConsistencyLevel need = NEEDS.get(text(needs.get(i), "family-info.freshness[" + i + "]"));
             if (need == null) {
                 throw unusable("family-info.freshness[" + i + "]");
             }
@@ -129,8 +155,8 @@
         return classes;
     }
 
-    private static RouterApi.Rules rules(JsonObject o) {
-        return new RouterApi.Rules(
+    private static RoutingRules rules(JsonObject o) {
+        return new RoutingRules(
                 micros(o, "rules.answer-slack-ms"),
                 micros(o, "rules.drain-grace-ms"),
                 o.has("dropped-stay-open") && flag(o, "rules.dropped-stay-open"),
@@ -140,8 +166,8 @@
                 micros(o, "rules.tip-after-ms"));
     }
 
-    private static RouterApi.Limits limits(JsonObject o) {
-        return new RouterApi.Limits(
+    private static RoutingLimits limits(JsonObject o) {
+        return new RoutingLimits(
                 flag(o, "bounds.probes"),
                 flag(o, "bounds.may-cancel"),
                 flag(o, "bounds.retry-after"),
@@ -150,9 +176,8 @@
                 micros(o, "bounds.connect-timeout-ms"));
     }
 
-    private static RouterApi.Prices prices(JsonObject o) {
-        return new RouterApi.Prices(
-                number(o, "charges.cross-zone"), number(o, "charges.probe"), number(o, "charges.waste"));
+    private static CostWeights prices(JsonObject o) {
+        return new CostWeights(number(o, "charges.cross-zone"), number(o, "charges.probe"), number(o, "charges.waste"));
     }
 
     private JsonObject object(String name) {
--- a/src/main/java/crankwick/lab/AuditTrace.java
+++ b/src/main/java/crankwick/simulation/AuditTrace.java
@@ -1,4 +1,4 @@
-package crankwick.lab;
+package crankwick.simulation;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
--- a/src/main/java/crankwick/lab/AskedRequest.java
+++ b/src/main/java/crankwick/simulation/AuditedRequest.java
@@ -1,7 +1,7 @@
-package crankwick.lab;
+package crankwick.simulation;
 
 /** A request of a client, as the audit follows it. */
-final class AskedRequest {
+final class AuditedRequest {
     /** Whether a write could have been served, by the kind of change; COLD: to a primary that is not warm. */
     enum Reach {
         NOT,
@@ -24,7 +24,7 @@
     long ranSince = Long.MAX_VALUE;
     Reach reach = Reach.NOT;
 
-    AskedRequest(long ref, int group, String key, long takenAt, long expires) {
+    AuditedRequest(long ref, int group, String key, long takenAt, long expires) {
         this.ref = ref;
         this.group = group;
         this.key = key;
--- a/src/main/java/crankwick/lab/DrainLab.java
+++ b/src/main/java/crankwick/simulation/DrainSimulation.java
@@ -1,6 +1,6 @@
-package crankwick.lab;
+package crankwick.simulation;
 
-import crankwick.discovery.WatchKeeper;
+import crankwick.discovery.EndpointWatch;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,11 +8,11 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of {@link WatchKeeper}s before one discovery, in simulated time by seed: watches fall silent or are
+ * A fleet of {@link EndpointWatch}s before one discovery, in simulated time by seed: watches fall silent or are
  * reset together, discovery goes down and comes back to callers that it takes in turn, and databases begin to
  * drain around it. Checked is that every proxy hears of each drain before it must be honoured.
  */
-public final class DrainLab {
+public final class DrainSimulation {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
     private static final long START = 1_000 * SECOND;
@@ -39,7 +39,7 @@
     public record Options(int proxies, int rounds, long seed, long fleetTurn, long lateness) {}
 
     private final Options options;
-    private final Simulation simulation = new Simulation(START);
+    private final SimulatedClock simulation = new SimulatedClock(START);
     private final SplittableRandom random;
     private final List<Proxy> proxies = new ArrayList<>();
     private long version = 41;
@@ -50,7 +50,7 @@
     private String violation;
 
     /** A lab for one run. */
-    public DrainLab(Options options) {
+    public DrainSimulation(Options options) {
         this.options = options;
         random = new SplittableRandom(options.seed());
         for (int i = 0; i < options.proxies(); i++) {
@@ -124,9 +124,9 @@
     }
 
     /** One proxy's keeper, and its call as discovery sees it. */
-    private final class Proxy implements WatchKeeper.Calls {
+    private final class Proxy implements EndpointWatch.Calls {
         final int number;
-        final WatchKeeper keeper;
+        final EndpointWatch keeper;
         long version = 41;
         long call;
         long from;
@@ -138,7 +138,7 @@
 
         Proxy(int number, long seed) {
             this.number = number;
-            keeper = new WatchKeeper(version, seed, this);
+            keeper = new EndpointWatch(version, seed, this);
         }
 
         void tell(Runnable event) {
@@ -183,7 +183,7 @@
         }
 
         private void hold(long mine, long rest) {
-            if (mine == call && from < DrainLab.this.version) {
+            if (mine == call && from < DrainSimulation.this.version) {
                 answer(mine);
             } else if (mine == call) {
                 waits = true;
@@ -199,7 +199,7 @@
         void answer(long mine) {
             waits = false;
             answeredAt = simulation.now();
-            long brings = DrainLab.this.version;
+            long brings = DrainSimulation.this.version;
             simulation.after(
                     TRIP,
                     () -> tell(() -> {
--- a/src/main/java/crankwick/lab/HandoverAudit.java
+++ b/src/main/java/crankwick/simulation/FailoverAudit.java
@@ -1,8 +1,8 @@
-package crankwick.lab;
+package crankwick.simulation;
 
-import crankwick.RouterApi.Result;
 import crankwick.broker.Reply;
 import crankwick.model.ModelEffect;
+import crankwick.routing.api.AttemptResult;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
  * attempt of it may have run at a time that puts its key's window before that moment. Writes to a new primary
  * that started too lately to be warm are counted apart: how much it may be sent is another rule's matter.
  */
-final class HandoverAudit {
+final class FailoverAudit {
     /** Microseconds for finding the new primary and for the write itself. */
     static final long MARGIN = 250_000;
 
@@ -33,8 +33,8 @@
     }
 
     private static final class GroupWatch {
-        final Map<Long, AskedRequest> open = new HashMap<>();
-        final List<AskedRequest> affected = new ArrayList<>();
+        final Map<Long, AuditedRequest> open = new HashMap<>();
+        final List<AuditedRequest> affected = new ArrayList<>();
         boolean vacant;
         boolean planned;
         long changes;
@@ -62,7 +62,7 @@
     private final long drainGrace;
     private final long keyTtl;
     private final int paceBound;
-    private final Map<Long, AskedRequest> asked = new HashMap<>();
+    private final Map<Long, AuditedRequest> asked = new HashMap<>();
     private final Map<String, KeyState> keys = new HashMap<>();
     private final GroupWatch[] groups;
     private final Map<String, Long> withdrawnAt = new HashMap<>();
@@ -74,14 +74,14 @@
     private long failoversAtViolation;
     private long refusedWrites;
     private long refusalWaits;
-    private final long[] reachable = new long[AskedRequest.Reach.values().length];
-    private final long[] reached = new long[AskedRequest.Reach.values().length];
+    private final long[] reachable = new long[AuditedRequest.Reach.values().length];
+    private final long[] reached = new long[AuditedRequest.Reach.values().length];
     private long served;
     private long refused;
     private long failed;
     private final Map<Reply.Reason, Long> reasons = new HashMap<>();
 
-    HandoverAudit(int groups, long slack, long drainGrace, long keyTtl, int paceBound) {
+    FailoverAudit(int groups, long slack, long drainGrace, long keyTtl, int paceBound) {
         this.slack = slack;
         this.drainGrace = drainGrace;
         this.keyTtl = keyTtl;
@@ -110,8 +110,8 @@
         }
     }
 
-    AskedRequest asked(long now, long ref, int group, String key, long expires) {
-        AskedRequest a = new AskedRequest(ref, group, key, now, expires);
+    AuditedRequest asked(long now, long ref, int group, String key, long expires) {
+        AuditedRequest a = new AuditedRequest(ref, group, key, now, expires);
         asked.put(ref, a);
         if (key != null) {
             trace.key(ref, key);
@@ -128,7 +128,7 @@
     }
 
     void answered(long now, long ref, Reply reply) {
-        AskedRequest a = asked.get(ref);
+        AuditedRequest a = asked.get(ref);
         if (a == null || a.answered) {
             broken(Violation.ANSWERS_LATE, now, a == null ? 0 : a.group, ref, "a second answer");
             return;
@@ -153,7 +153,7 @@
                             "served, applied " + key.applied + " times");
                 }
             }
-        } else if (reply instanceof Reply.Refused r) {
+        } else if (reply instanceof Reply.Rejected r) {
             refused++;
             reasons.merge(r.reason(), 1L, Long::sum);
             refusalWaits += a.key == null ? 0 : now - a.takenAt;
@@ -170,7 +170,7 @@
     }
 
     /** The proxy's process has ended under the request. */
-    void lost(AskedRequest a) {
+    void lost(AuditedRequest a) {
         a.lost = true;
         a.answered = true;
         over(a);
@@ -183,19 +183,19 @@
         }
     }
 
-    private void over(AskedRequest a) {
+    private void over(AuditedRequest a) {
         groups[a.group].open.remove(a.ref);
         if (!a.inFlight) {
             asked.remove(a.ref);
         }
     }
 
-    Iterable<AskedRequest> open() {
+    Iterable<AuditedRequest> open() {
         return List.copyOf(asked.values()).stream().filter(a -> !a.answered).toList();
     }
 
     void sent(long now, long ref, String server) {
-        AskedRequest a = asked.get(ref);
+        AuditedRequest a = asked.get(ref);
         if (a == null) {
             broken(Violation.SECOND_ATTEMPTS, now, 0, ref, "sent after its answer");
             return;
@@ -224,17 +224,17 @@
         a.outSince = now;
     }
 
-    void ended(long now, long ref, Result result) {
-        AskedRequest a = asked.get(ref);
+    void ended(long now, long ref, AttemptResult result) {
+        AuditedRequest a = asked.get(ref);
         if (a == null) {
             return;
         }
         note(now, a.group, ref, "attempt ended " + result);
         a.inFlight = false;
-        if (result == Result.OK && a.key != null && a.outAt.equals(groups[a.group].leader)) {
+        if (result == AttemptResult.OK && a.key != null && a.outAt.equals(groups[a.group].leader)) {
             groups[a.group].serving = a.outAt;
         }
-        if (result != Result.OK && !result.provesNotRun() && a.ranSince == Long.MAX_VALUE) {
+        if (result != AttemptResult.OK && !result.provesNotExecuted() && a.ranSince == Long.MAX_VALUE) {
             a.ranSince = a.outSince;
         }
         if (a.answered) {
@@ -287,15 +287,15 @@
         if (g.changes != change || g.vacant) {
             return;
         }
-        for (AskedRequest a : g.affected) {
+        for (AuditedRequest a : g.affected) {
             long ran = Math.min(
                     a.ranSince,
                     a.inFlight && !a.outAt.equals(leader) && a.outSince < ledAt ? a.outSince : Long.MAX_VALUE);
             boolean doubtful = ran != Long.MAX_VALUE && ran + keyTtl < ledAt + MARGIN;
             if (!a.lost && !doubtful && a.expires >= ledAt + MARGIN) {
                 a.reach = cold
-                        ? AskedRequest.Reach.COLD
-                        : g.planned ? AskedRequest.Reach.PLANNED : AskedRequest.Reach.UNPLANNED;
+                        ? AuditedRequest.Reach.COLD
+                        : g.planned ? AuditedRequest.Reach.PLANNED : AuditedRequest.Reach.UNPLANNED;
                 if (a.answered) {
                     count(a);
                 }
@@ -304,14 +304,14 @@
         g.affected.clear();
     }
 
-    private void count(AskedRequest a) {
-        if (a.reach != AskedRequest.Reach.NOT && !a.lost) {
+    private void count(AuditedRequest a) {
+        if (a.reach != AuditedRequest.Reach.NOT && !a.lost) {
             reachable[a.reach.ordinal()]++;
             reached[a.reach.ordinal()] += a.served ? 1 : 0;
             if (!a.served) {
                 note(a.expires, a.group, a.ref, "reachable and not served");
             }
-            a.reach = AskedRequest.Reach.NOT;
+            a.reach = AuditedRequest.Reach.NOT;
         }
     }
 
@@ -332,7 +332,7 @@
 
     /** Everything has come to rest: nobody may still wait. */
     void end(long now) {
-        for (AskedRequest a : open()) {
+        for (AuditedRequest a : open()) {
             broken(Violation.ANSWERS_MISSING, now, a.group, a.ref, "never answered");
         }
     }
@@ -358,14 +358,14 @@
         }
         all.put("violations", sum);
         all.put("first_violation_after", violation == null ? -1 : failoversAtViolation);
-        int unplanned = AskedRequest.Reach.UNPLANNED.ordinal();
-        int planned = AskedRequest.Reach.PLANNED.ordinal();
+        int unplanned = AuditedRequest.Reach.UNPLANNED.ordinal();
+        int planned = AuditedRequest.Reach.PLANNED.ordinal();
         all.put("reachable", reachable[unplanned] + reachable[planned]);
         all.put(
                 "served_of_reachable",
                 share(reached[unplanned] + reached[planned], reachable[unplanned] + reachable[planned]));
-        for (AskedRequest.Reach reach :
-                List.of(AskedRequest.Reach.UNPLANNED, AskedRequest.Reach.PLANNED, AskedRequest.Reach.COLD)) {
+        for (AuditedRequest.Reach reach :
+                List.of(AuditedRequest.Reach.UNPLANNED, AuditedRequest.Reach.PLANNED, AuditedRequest.Reach.COLD)) {
             String name = reach.name().toLowerCase(Locale.ROOT);
             all.put("reachable_" + name, reachable[reach.ordinal()]);
             all.put("served_of_reachable_" + name, share(reached[reach.ordinal()], reachable[reach.ordinal()]));
--- a/src/main/java/crankwick/lab/HandoverLab.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -1,32 +1,32 @@
-package crankwick.lab;
+package crankwick.simulation;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.Limits;
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.ListRole;
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Need;
-import crankwick.RouterApi.Prices;
-import crankwick.RouterApi.Repeat;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.RequestClass;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Rules;
-import crankwick.RouterApi.Scope;
-import crankwick.RouterApi.Settings;
-import crankwick.RouterApi.Standing;
-import crankwick.RouterApi.WhenBehind;
 import crankwick.broker.Broker;
 import crankwick.broker.BrokerEvent;
-import crankwick.broker.Call;
+import crankwick.broker.ClientRequest;
 import crankwick.broker.Contract;
 import crankwick.broker.Effect;
 import crankwick.broker.Reply;
-import crankwick.handover.HandoverCounters;
-import crankwick.handover.HandoverSettings;
+import crankwick.failover.FailoverCounters;
+import crankwick.failover.FailoverSettings;
 import crankwick.model.GroupModel;
 import crankwick.model.ModelSettings;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.ConsistencyLevel;
+import crankwick.routing.api.CostWeights;
+import crankwick.routing.api.DeduplicationScope;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.Idempotency;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.RequestClass;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoleVisibility;
+import crankwick.routing.api.RoutingLimits;
+import crankwick.routing.api.RoutingRules;
+import crankwick.routing.api.RoutingSettings;
+import crankwick.routing.api.StaleReadPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -35,10 +35,10 @@
 /**
  * Explores changes of primaries in simulated time: the real broker, router and handover over modelled groups,
  * with delays, lost connections, troubles and restarts of the proxy drawn by seed, checked at every step by
- * {@link HandoverAudit}. The same options give the same run (as in FoundationDB's simulation testing; Zhou et
+ * {@link FailoverAudit}. The same options give the same run (as in FoundationDB's simulation testing; Zhou et
  * al., SIGMOD 2021).
  */
-public final class HandoverLab {
+public final class FailoverSimulation {
     /** A deliberate defect of the world around the broker or of its settings, which the audit must catch. */
     public enum Fault {
         NONE,
@@ -55,7 +55,7 @@
      * @param failovers changes of leaders after which the run comes to its end, 1 or more
      * @param handover what is set of changes; null leaves them to the router alone, as earlier versions did
      */
-    public record Options(int groups, int failovers, long seed, HandoverSettings handover, Fault fault) {}
+    public record Options(int groups, int failovers, long seed, FailoverSettings handover, Fault fault) {}
 
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
@@ -84,15 +84,15 @@
     }
 
     private final Options options;
-    private final Simulation time = new Simulation(START);
-    private final LabRandom random;
+    private final SimulatedClock time = new SimulatedClock(START);
+    private final SimulationRandom random;
     private final ModelSettings figures = ModelSettings.SITE;
-    private final Settings settings;
-    private final HandoverSettings changes;
-    private final HandoverAudit audit;
-    private final List<LabGroup> groups = new ArrayList<>();
+    private final RoutingSettings settings;
+    private final FailoverSettings changes;
+    private final FailoverAudit audit;
+    private final List<SimulatedGroup> groups = new ArrayList<>();
     private final ModelNetwork network;
-    private final TroubleSchedule troubles;
+    private final FaultSchedule troubles;
     private final Map<Long, Wish> wishes = new HashMap<>();
     private Broker broker;
     private long generation;
@@ -103,64 +103,89 @@
     private boolean ending;
 
     /** Prepares a run. */
-    public HandoverLab(Options options) {
+    public FailoverSimulation(Options options) {
         this.options = options;
-        random = new LabRandom(options.seed());
+        random = new SimulationRandom(options.seed());
         boolean endless = options.fault() == Fault.RESEND_AFTER_WINDOW;
         settings = settings(endless ? 60 * SECOND : KEY_TTL);
-        HandoverSettings d = options.handover();
+        FailoverSettings d = options.handover();
         changes = d == null || options.fault() != Fault.RELEASE_WITHOUT_PACE
                 ? d
-                : new HandoverSettings(
-                        d.heldPerGroup(),
-                        d.heldPerTeam(),
+                : new FailoverSettings(
+                        d.bufferedPerGroup(),
+                        d.bufferedPerTeam(),
                         d.bytesPerGroup(),
                         d.bytesPerTeam(),
-                        d.hopeLeast(),
+                        d.minSuccessProbability(),
                         1_000_000,
                         d.keyMargin(),
-                        d.keys(),
-                        d.keyMemory(),
-                        d.unplannedLeast(),
-                        d.unplannedMost(),
-                        d.plannedLeast(),
-                        d.plannedMost());
-        audit = new HandoverAudit(
+                        d.maxKeys(),
+                        d.keyRetention(),
+                        d.unplannedMin(),
+                        d.unplannedMax(),
+                        d.plannedMin(),
+                        d.plannedMax());
+        audit = new FailoverAudit(
                 options.groups(),
                 settings.rules().answerSlack(),
                 settings.rules().drainGrace(),
                 KEY_TTL,
-                HandoverSettings.DEFAULT.startWindow());
+                FailoverSettings.DEFAULT.initialWindow());
         network = new ModelNetwork(time, random, audit, groups, this::tell, this::onLed);
-        troubles = new TroubleSchedule(time, random, audit, network, figures.members(), this::list, () -> ending);
+        troubles = new FaultSchedule(time, random, audit, network, figures.members(), this::list, () -> ending);
     }
 
     /** As the site has them: a session read, a read that must be current, and a keyed write. */
-    private static Settings settings(long keyTtl) {
-        return new Settings(
+    private static RoutingSettings settings(long keyTtl) {
+        return new RoutingSettings(
                 1,
                 0,
                 false,
                 true,
                 true,
-                WhenBehind.WAIT,
-                ListRole.LATE,
-                new Rules(20 * MS, 2 * SECOND, false, 0.18, 16 * SECOND, 2.5, 2 * SECOND),
-                new Limits(true, true, true, 2 * SECOND, 8, CONNECT_TIMEOUT),
-                new Prices(0.0095, 0.021, 0.05),
+                StaleReadPolicy.WAIT,
+                RoleVisibility.DELAYED,
+                new RoutingRules(20 * MS, 2 * SECOND, false, 0.18, 16 * SECOND, 2.5, 2 * SECOND),
+                new RoutingLimits(true, true, true, 2 * SECOND, 8, CONNECT_TIMEOUT),
+                new CostWeights(0.0095, 0.021, 0.05),
                 List.of(
                         new RequestClass(
-                                Need.SESSION, 0, Repeat.SAFE, Scope.ALL, 5 * SECOND, 500 * MS, 1_200 * MS, 1, 0),
-                        new RequestClass(Need.FRESH, 0, Repeat.SAFE, Scope.ALL, 5 * SECOND, 600 * MS, 2 * SECOND, 1, 0),
+                                ConsistencyLevel.SESSION,
+                                0,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.FLEET,
+                                5 * SECOND,
+                                500 * MS,
+                                1_200 * MS,
+                                1,
+                                0),
+                        new RequestClass(
+                                ConsistencyLevel.STRONG,
+                                0,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.FLEET,
+                                5 * SECOND,
+                                600 * MS,
+                                2 * SECOND,
+                                1,
+                                0),
                         new RequestClass(
-                                Need.WRITE, 0, Repeat.KEYED, Scope.GROUP, keyTtl, 750 * MS, 3 * SECOND, 6, 0.5)));
+                                ConsistencyLevel.WRITE,
+                                0,
+                                Idempotency.WITH_KEY,
+                                DeduplicationScope.GROUP,
+                                keyTtl,
+                                750 * MS,
+                                3 * SECOND,
+                                6,
+                                0.5)));
     }
 
     /** Runs to the end; the figures, of which "violations" must be 0. */
     public Map<String, Object> run() {
         long began = System.nanoTime();
         for (int i = 0; i < options.groups(); i++) {
-            LabGroup g = new LabGroup(i, new GroupModel(figures, random.seed(), START), figures.members());
+            SimulatedGroup g = new SimulatedGroup(i, new GroupModel(figures, random.seed(), START), figures.members());
             groups.add(g);
             nextArrival(g);
             troubles.next(g);
@@ -193,27 +218,34 @@
         return audit.violation();
     }
 
-    private void nextArrival(LabGroup g) {
+    private void nextArrival(SimulatedGroup g) {
         time.after(random.exponential(SECOND / RATE), () -> {
             if (!ending) {
                 double draw = random.share();
-                int cls = draw < WRITES ? RESERVE : draw < WRITES + CHECKS ? CHECK : OWN;
-                long mustSee = cls == OWN ? time.now() - random.between(50 * MS, 2 * SECOND) : RouterApi.NONE;
-                ask(new Wish(g.id, cls, cls == RESERVE ? "k" + keys++ : null, mustSee, 0, Long.MAX_VALUE, false));
+                int classIndex = draw < WRITES ? RESERVE : draw < WRITES + CHECKS ? CHECK : OWN;
+                long mustSee = classIndex == OWN ? time.now() - random.between(50 * MS, 2 * SECOND) : AbsentValue.NONE;
+                ask(new Wish(
+                        g.id,
+                        classIndex,
+                        classIndex == RESERVE ? "k" + keys++ : null,
+                        mustSee,
+                        0,
+                        Long.MAX_VALUE,
+                        false));
                 nextArrival(g);
             }
         });
     }
 
     private void ask(Wish wish) {
-        long patience = Math.min(settings.classes().get(wish.cls()).deadline(), wish.until() - time.now());
+        long patience = Math.min(settings.requestClasses().get(wish.cls()).deadline(), wish.until() - time.now());
         if (patience <= 0) {
             return;
         }
         long ref = ++refs;
         wishes.put(ref, wish);
         audit.asked(time.now(), ref, wish.group(), wish.key(), time.now() + patience);
-        tell(new BrokerEvent.Taken(new Call(
+        tell(new BrokerEvent.RequestReceived(new ClientRequest(
                 ref,
                 Long.toString(ref),
                 "",
@@ -233,7 +265,7 @@
     private void answered(long ref, Reply reply) {
         audit.answered(time.now(), ref, reply);
         Wish wish = wishes.remove(ref);
-        if (reply instanceof Reply.Refused r && wish.tries() < RETRIES && !ending) {
+        if (reply instanceof Reply.Rejected r && wish.tries() < RETRIES && !ending) {
             time.after(Math.max(10 * MS, r.retryAfter()), () -> ask(wish.again(1, wish.until(), false)));
         } else if (reply instanceof Reply.Failed
                 && wish.key() != null
@@ -253,15 +285,15 @@
     private void startProxy() {
         generation++;
         broker = new Broker(settings, random.seed(), Map.of("", Contract.UNLIMITED), changes);
-        List<Member> all = new ArrayList<>();
-        for (LabGroup g : groups) {
+        List<Endpoint> all = new ArrayList<>();
+        for (SimulatedGroup g : groups) {
             for (int m = 0; m < figures.members(); m++) {
-                Member entry = g.entry(m);
-                audit.told(time.now(), entry.server(), entry.standing() != Standing.LIVE);
+                Endpoint entry = g.entry(m);
+                audit.told(time.now(), entry.id(), entry.status() != EndpointStatus.LIVE);
                 all.add(entry);
             }
         }
-        tell(new BrokerEvent.Listed(ListKind.RESTORED, all));
+        tell(new BrokerEvent.EndpointsUpdated(EndpointUpdateKind.RESTORED, all));
     }
 
     private void nextRestart() {
@@ -281,9 +313,9 @@
         restarts++;
         audit.restarted();
         network.reset();
-        for (AskedRequest a : audit.open()) {
+        for (AuditedRequest a : audit.open()) {
             audit.lost(a);
-            audit.ended(time.now(), a.ref, Result.NOT_SENT);
+            audit.ended(time.now(), a.ref, AttemptResult.NOT_SENT);
             Wish wish = wishes.remove(a.ref);
             long wait = random.between(50 * MS, 300 * MS);
             if (!wish.doubtful()) {
@@ -301,7 +333,7 @@
     }
 
     private void tell(BrokerEvent event) {
-        HandoverCounters counters =
+        FailoverCounters counters =
                 broker.handover() == null ? null : broker.handover().counters();
         long changesBefore = counters == null ? 0 : counters.changes();
         long releasedBefore = counters == null ? 0 : counters.released();
@@ -316,22 +348,22 @@
 
     private void carryOut(Effect effect) {
         long alive = generation;
-        if (effect instanceof Effect.Send e) {
-            Wish wish = wishes.get(e.ref());
+        if (effect instanceof Effect.SendAttempt e) {
+            Wish wish = wishes.get(e.requestId());
             network.send(e, wish.key(), wish.mustSee());
             if (options.fault() == Fault.HELD_SENT_TWICE
                     && broker.handover().counters().released() > 0) {
-                audit.sent(time.now(), e.ref(), e.server());
+                audit.sent(time.now(), e.requestId(), e.endpointId());
             }
-        } else if (effect instanceof Effect.Answer e) {
-            answered(e.ref(), e.reply());
-        } else if (effect instanceof Effect.Withdraw e) {
-            network.withdraw(e.ref());
-        } else if (effect instanceof Effect.Recall e) {
-            network.recall(e.ref());
-        } else if (effect instanceof Effect.Probe e) {
-            network.probe(e.server());
-        } else if (effect instanceof Effect.Arm e) {
+        } else if (effect instanceof Effect.SendReply e) {
+            answered(e.requestId(), e.reply());
+        } else if (effect instanceof Effect.CancelAttempt e) {
+            network.withdraw(e.requestId());
+        } else if (effect instanceof Effect.CancelQueued e) {
+            network.recall(e.requestId());
+        } else if (effect instanceof Effect.CheckHealth e) {
+            network.probe(e.endpointId());
+        } else if (effect instanceof Effect.ScheduleTimer e) {
             time.after(e.delay(), () -> {
                 if (alive == generation) {
                     tell(e.event());
@@ -352,11 +384,11 @@
         return to > from ? Integer.parseInt(line.substring(from, to)) : 0;
     }
 
-    private void onLed(LabGroup g, int member) {
+    private void onLed(SimulatedGroup g, int member) {
         long change = audit.changed(g.id, g.lastLeader != member);
         long ledAt = time.now();
         boolean commits = g.model.commits();
-        time.after(HandoverAudit.MARGIN, () -> {
+        time.after(FailoverAudit.MARGIN, () -> {
             if (commits && g.model.commits()) {
                 audit.stable(g.id, change, ledAt, g.name(member), ledAt < g.model.startedAt(member) + figures.ramp());
             }
@@ -371,14 +403,14 @@
         });
     }
 
-    private void list(LabGroup g, int m) {
-        Member entry = g.entry(m);
-        audit.told(time.now(), entry.server(), entry.standing() != Standing.LIVE);
+    private void list(SimulatedGroup g, int m) {
+        Endpoint entry = g.entry(m);
+        audit.told(time.now(), entry.id(), entry.status() != EndpointStatus.LIVE);
         audit.note(time.now(), g.id, -1, "listed " + entry);
-        tell(new BrokerEvent.Listed(ListKind.CHANGES, List.of(entry)));
+        tell(new BrokerEvent.EndpointsUpdated(EndpointUpdateKind.INCREMENTAL, List.of(entry)));
         if (options.fault() == Fault.LATE_LIST_BELIEVED && entry.role() == Role.PRIMARY) {
-            tell(new BrokerEvent.Probed(
-                    entry.server(), Result.OK, 0, new Report(time.now(), Role.PRIMARY, 0, 0, Double.NaN)));
+            tell(new BrokerEvent.HealthCheckEnded(
+                    entry.id(), AttemptResult.OK, 0, new LoadReport(time.now(), Role.PRIMARY, 0, 0, Double.NaN)));
         }
     }
 }
--- a/src/main/java/crankwick/lab/TroubleSchedule.java
+++ b/src/main/java/crankwick/simulation/FaultSchedule.java
@@ -1,4 +1,4 @@
-package crankwick.lab;
+package crankwick.simulation;
 
 import crankwick.model.ModelEvent;
 import crankwick.model.ModelEvent.Trouble.Kind;
@@ -6,27 +6,27 @@
 import java.util.function.BooleanSupplier;
 
 /** Deaths, hangs and drains of a group's members, drawn by seed, and their return. */
-final class TroubleSchedule {
+final class FaultSchedule {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
 
-    private final Simulation time;
-    private final LabRandom random;
-    private final HandoverAudit audit;
+    private final SimulatedClock time;
+    private final SimulationRandom random;
+    private final FailoverAudit audit;
     private final ModelNetwork network;
     private final int members;
     /** Lists a member as it is shown by now. */
-    private final BiConsumer<LabGroup, Integer> lists;
+    private final BiConsumer<SimulatedGroup, Integer> lists;
 
     private final BooleanSupplier ending;
 
-    TroubleSchedule(
-            Simulation time,
-            LabRandom random,
-            HandoverAudit audit,
+    FaultSchedule(
+            SimulatedClock time,
+            SimulationRandom random,
+            FailoverAudit audit,
             ModelNetwork network,
             int members,
-            BiConsumer<LabGroup, Integer> lists,
+            BiConsumer<SimulatedGroup, Integer> lists,
             BooleanSupplier ending) {
         this.time = time;
         this.random = random;
@@ -38,7 +38,7 @@
     }
 
     /** Draws the next trouble of a group, and so on until the run comes to its end. */
-    void next(LabGroup g) {
+    void next(SimulatedGroup g) {
         time.after(300 * MS + random.exponential(8.0 * SECOND), () -> {
             if (!ending.getAsBoolean()) {
                 trouble(g);
@@ -47,7 +47,7 @@
         });
     }
 
-    private void trouble(LabGroup g) {
+    private void trouble(SimulatedGroup g) {
         int leader = g.model.leader();
         int draw = random.percent();
         if (leader < 0 || !othersAnswer(g, leader)) {
@@ -71,7 +71,7 @@
     }
 
     /** The next trouble of a leader waits until the group has all its members again. */
-    private boolean othersAnswer(LabGroup g, int leader) {
+    private boolean othersAnswer(SimulatedGroup g, int leader) {
         for (int m = 0; m < members; m++) {
             if (m != leader && (!g.model.answers(m) || g.model.drains(m))) {
                 return false;
@@ -81,7 +81,7 @@
     }
 
     /** One that might be about to take over, or just has, dies too, if another remains. */
-    private void loseElected(LabGroup g) {
+    private void loseElected(SimulatedGroup g) {
         int victim = (g.model.lastLeader() + 1) % members;
         int other = (victim + 1) % members == g.model.lastLeader() ? (victim + 2) % members : (victim + 1) % members;
         if (g.model.leader() < 0 && g.model.answers(victim) && g.model.answers(other)) {
@@ -90,12 +90,12 @@
         }
     }
 
-    private void befall(LabGroup g, int member, Kind kind) {
+    private void befall(SimulatedGroup g, int member, Kind kind) {
         audit.note(time.now(), g.id, -1, g.name(member) + " " + kind);
         network.at(g, new ModelEvent.Trouble(kind, member));
     }
 
-    private void back(LabGroup g, int member, long after) {
+    private void back(SimulatedGroup g, int member, long after) {
         time.after(after, () -> {
             if (g.model.drains(member) && (g.model.leader() == member || g.model.leader() < 0)) {
                 back(g, member, 500 * MS);
--- a/src/main/java/crankwick/lab/ModelNetwork.java
+++ b/src/main/java/crankwick/simulation/ModelNetwork.java
@@ -1,14 +1,14 @@
-package crankwick.lab;
+package crankwick.simulation;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
 import crankwick.broker.BrokerEvent;
 import crankwick.broker.Effect;
 import crankwick.model.GroupModel;
 import crankwick.model.ModelEffect;
 import crankwick.model.ModelEvent;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -54,26 +54,26 @@
         }
     }
 
-    private final Simulation time;
-    private final LabRandom random;
-    private final HandoverAudit audit;
-    private final List<LabGroup> groups;
+    private final SimulatedClock time;
+    private final SimulationRandom random;
+    private final FailoverAudit audit;
+    private final List<SimulatedGroup> groups;
     /** Who is told of attempts and probes; and of who leads a group now. */
     private final Consumer<BrokerEvent> broker;
 
-    private final BiConsumer<LabGroup, Integer> leaders;
+    private final BiConsumer<SimulatedGroup, Integer> leaders;
     private final Map<Long, Job> atModels = new HashMap<>();
     private final Map<Long, Job> attempts = new LinkedHashMap<>();
     private long generation;
     private long modelRefs;
 
     ModelNetwork(
-            Simulation time,
-            LabRandom random,
-            HandoverAudit audit,
-            List<LabGroup> groups,
+            SimulatedClock time,
+            SimulationRandom random,
+            FailoverAudit audit,
+            List<SimulatedGroup> groups,
             Consumer<BrokerEvent> broker,
-            BiConsumer<LabGroup, Integer> leaders) {
+            BiConsumer<SimulatedGroup, Integer> leaders) {
         this.time = time;
         this.random = random;
         this.audit = audit;
@@ -82,8 +82,8 @@
         this.leaders = leaders;
     }
 
-    private LabGroup group(String server) {
-        return groups.get(LabGroup.groupOf(server));
+    private SimulatedGroup group(String server) {
+        return groups.get(SimulatedGroup.groupOf(server));
     }
 
     /** The proxy's process has ended: its connections are gone, and what was on its way to a database too. */
@@ -102,7 +102,7 @@
         Job job = attempts.remove(ref);
         if (job != null) {
             job.over = true;
-            audit.ended(time.now(), ref, job.written ? Result.CANCELLED : Result.NOT_SENT);
+            audit.ended(time.now(), ref, job.written ? AttemptResult.CANCELLED : AttemptResult.NOT_SENT);
             time.after(random.way(), () -> drop(job));
         }
     }
@@ -111,35 +111,35 @@
     void recall(long ref) {
         Job job = attempts.get(ref);
         if (job != null && !job.written) {
-            end(job, Result.NOT_SENT, null);
+            end(job, AttemptResult.NOT_SENT, null);
         }
     }
 
     /** Sends an attempt, with its idempotency key and the position that it must see. */
-    void send(Effect.Send e, String key, long mustSee) {
-        audit.sent(time.now(), e.ref(), e.server());
-        Job job = new Job(e.ref(), e.attempt(), e.server(), time.now(), ++modelRefs, key, mustSee);
-        attempts.put(e.ref(), job);
+    void send(Effect.SendAttempt e, String key, long mustSee) {
+        audit.sent(time.now(), e.requestId(), e.endpointId());
+        Job job = new Job(e.requestId(), e.attempt(), e.endpointId(), time.now(), ++modelRefs, key, mustSee);
+        attempts.put(e.requestId(), job);
         travel(job);
     }
 
     void probe(String server) {
-        Job job = new Job(-1, -1, server, time.now(), ++modelRefs, null, RouterApi.NONE);
+        Job job = new Job(-1, -1, server, time.now(), ++modelRefs, null, AbsentValue.NONE);
         travel(job);
-        time.after(PROBE_TIMEOUT, () -> end(job, Result.TIMEOUT, null));
+        time.after(PROBE_TIMEOUT, () -> end(job, AttemptResult.TIMEOUT, null));
     }
 
     /** A hung machine accepts no new connection; half of the attempts find one that is open. */
     private void travel(Job job) {
         long alive = generation;
         GroupModel model = group(job.server).model;
-        int member = LabGroup.memberOf(job.server);
+        int member = SimulatedGroup.memberOf(job.server);
         if (!model.answers(member) && !model.refuses(member) && random.flip()) {
-            time.after(CONNECT_TIMEOUT, () -> end(job, Result.UNREACHABLE, null));
+            time.after(CONNECT_TIMEOUT, () -> end(job, AttemptResult.UNREACHABLE, null));
             return;
         }
         if (random.chance(BREAKS)) {
-            time.after(random.way(), () -> end(job, Result.DROPPED, null));
+            time.after(random.way(), () -> end(job, AttemptResult.CONNECTION_LOST_BEFORE_SEND, null));
             return;
         }
         time.after(random.way(), () -> {
@@ -149,7 +149,7 @@
             atModels.put(job.modelRef, job);
             if (!job.isProbe() && !model.refuses(member)) {
                 job.written = true;
-                broker.accept(new BrokerEvent.Written(job.ref, job.attempt));
+                broker.accept(new BrokerEvent.AttemptWritten(job.ref, job.attempt));
             }
             at(
                     group(job.server),
@@ -160,7 +160,7 @@
                 time.after(random.way(), () -> {
                     if (atModels.containsKey(job.modelRef)) {
                         drop(job);
-                        end(job, Result.RESET, null);
+                        end(job, AttemptResult.RESET, null);
                     }
                 });
             }
@@ -173,7 +173,7 @@
     }
 
     /** Puts an event to a group, and carries out what follows. */
-    void at(LabGroup g, ModelEvent event) {
+    void at(SimulatedGroup g, ModelEvent event) {
         List<ModelEffect> effects = new ArrayList<>(2);
         g.model.handle(event, time.now(), effects::add);
         for (ModelEffect effect : effects) {
@@ -191,44 +191,46 @@
         }
     }
 
-    private void onModel(LabGroup g, ModelEffect effect) {
+    private void onModel(SimulatedGroup g, ModelEffect effect) {
         audit.history(time.now(), g.id, effect);
         if (effect instanceof ModelEffect.Answered e) {
             Job job = atModels.remove(e.ref());
             if (job != null) {
                 boolean lost = random.chance(BREAKS);
-                time.after(random.way(), () -> end(job, lost ? Result.RESET : e.result(), lost ? null : e));
+                time.after(random.way(), () -> end(job, lost ? AttemptResult.RESET : e.result(), lost ? null : e));
             }
         } else if (effect instanceof ModelEffect.Broken e) {
             Job job = atModels.remove(e.ref());
             if (job != null) {
-                time.after(random.way(), () -> end(job, e.refused() ? Result.UNREACHABLE : Result.RESET, null));
+                time.after(
+                        random.way(),
+                        () -> end(job, e.refused() ? AttemptResult.UNREACHABLE : AttemptResult.RESET, null));
             }
         } else if (effect instanceof ModelEffect.Led e) {
             leaders.accept(g, e.member());
         }
     }
 
-    private void end(Job job, Result result, ModelEffect.Answered answer) {
+    private void end(Job job, AttemptResult result, ModelEffect.Answered answer) {
         if (job.over) {
             return;
         }
         job.over = true;
         long duration = time.now() - job.startedAt;
-        Report report = answer == null ? null : answer.report();
+        LoadReport report = answer == null ? null : answer.report();
         if (job.isProbe()) {
-            broker.accept(new BrokerEvent.Probed(job.server, result, duration, report));
+            broker.accept(new BrokerEvent.HealthCheckEnded(job.server, result, duration, report));
             return;
         }
         attempts.remove(job.ref, job);
         audit.ended(time.now(), job.ref, result);
-        broker.accept(new BrokerEvent.Ended(
+        broker.accept(new BrokerEvent.AttemptEnded(
                 job.ref,
                 job.attempt,
                 result,
                 duration,
                 answer == null ? Role.UNKNOWN : answer.role(),
-                answer == null ? RouterApi.NONE : answer.position(),
+                answer == null ? AbsentValue.NONE : answer.position(),
                 report,
                 new byte[1]));
     }
--- a/src/main/java/crankwick/lab/Simulation.java
+++ b/src/main/java/crankwick/simulation/SimulatedClock.java
@@ -1,9 +1,9 @@
-package crankwick.lab;
+package crankwick.simulation;
 
 import java.util.PriorityQueue;
 
 /** Simulated time: tasks run in the order of their times, and of their coming where those are the same. */
-final class Simulation {
+final class SimulatedClock {
     private record Task(long at, long number, Runnable work) {}
 
     private final PriorityQueue<Task> tasks =
@@ -11,7 +11,7 @@
     private long now;
     private long numbers;
 
-    Simulation(long start) {
+    SimulatedClock(long start) {
         now = start;
     }
 
--- a/src/main/java/crankwick/lab/LabGroup.java
+++ b/src/main/java/crankwick/simulation/SimulatedGroup.java
@@ -1,12 +1,12 @@
-package crankwick.lab;
+package crankwick.simulation;
 
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Standing;
 import crankwick.model.GroupModel;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.Role;
 
 /** A modelled group of databases, and what the list shows of it, which is late. */
-final class LabGroup {
+final class SimulatedGroup {
     final int id;
     final GroupModel model;
     long dueAt = Long.MAX_VALUE;
@@ -14,7 +14,7 @@
     final long[] shownStart;
     int lastLeader;
 
-    LabGroup(int id, GroupModel model, int members) {
+    SimulatedGroup(int id, GroupModel model, int members) {
         this.id = id;
         this.model = model;
         shownRole = new Role[members];
@@ -39,8 +39,8 @@
     }
 
     /** A member as the list shows it. */
-    Member entry(int member) {
-        Standing standing = model.drains(member) ? Standing.DRAINING : Standing.LIVE;
-        return new Member(name(member), 0, id, shownRole[member], standing, shownStart[member]);
+    Endpoint entry(int member) {
+        EndpointStatus standing = model.drains(member) ? EndpointStatus.DRAINING : EndpointStatus.LIVE;
+        return new Endpoint(name(member), 0, id, shownRole[member], standing, shownStart[member]);
     }
 }
--- a/src/main/java/crankwick/lab/LabRandom.java
+++ b/src/main/java/crankwick/simulation/SimulationRandom.java
@@ -1,16 +1,16 @@
-package crankwick.lab;
+package crankwick.simulation;
 
 import java.util.SplittableRandom;
 
 /** The draws of one run: the same seed gives the same ones, in the order in which they are asked for. */
-final class LabRandom {
+final class SimulationRandom {
     private static final long MS = 1_000;
     /** In ten thousand: ways over the network that take long. */
     private static final int SLOW_WAYS = 100;
 
     private final SplittableRandom random;
 
-    LabRandom(long seed) {
+    SimulationRandom(long seed) {
         random = new SplittableRandom(seed);
     }
 
--- a/src/main/java/crankwick/simhost/LineReader.java
+++ b/src/main/java/crankwick/simulator/LineReader.java
@@ -1,4 +1,4 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/crankwick/simhost/ReplyWriter.java
+++ b/src/main/java/crankwick/simulator/ReplyWriter.java
@@ -1,6 +1,7 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
-import crankwick.RouterApi;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.RoutingActions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
@@ -9,7 +10,7 @@
 import java.util.Map;
 
 /** Writes a router's actions as lines of the wire. */
-final class ReplyWriter implements RouterApi.Actions {
+final class ReplyWriter implements RoutingActions {
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
     private static final long MAX_TIMER = 70L * 60 * 1_000_000;
 
@@ -52,7 +53,7 @@
         space();
         text(server);
         space();
-        if (patience == RouterApi.NONE) {
+        if (patience == AbsentValue.NONE) {
             text("-");
         } else {
             millis(patience);
@@ -61,7 +62,7 @@
     }
 
     @Override
-    public void refuse(long id, long retryAfter) {
+    public void reject(long id, long retryAfter) {
         begin("decline ");
         hex(id);
         space();
@@ -77,14 +78,14 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void checkHealth(String server) {
         begin("ask_load ");
         text(server);
         endLine();
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         begin("drop_attempt ");
         hex(id);
         space();
@@ -93,7 +94,7 @@
     }
 
     @Override
-    public void arm(long fromNow, long ref) {
+    public void scheduleTimer(long fromNow, long ref) {
         begin("arm ");
         millis(Math.min(Math.max(0, fromNow), MAX_TIMER));
         space();
@@ -102,13 +103,13 @@
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
         begin("tail 1");
         endLine();
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpoints() {
         begin("get_list");
         endLine();
     }
--- a/src/main/java/crankwick/simhost/Host.java
+++ b/src/main/java/crankwick/simulator/SimulatorAdapter.java
@@ -1,12 +1,22 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
-import crankwick.Router;
-import crankwick.RouterApi;
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Standing;
+import crankwick.routing.Router;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptOutcome;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdate;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.HealthCheckResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.RequestAbandoned;
+import crankwick.routing.api.ResponseStarted;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingEvent;
+import crankwick.routing.api.RoutingRequest;
+import crankwick.routing.api.TimerFired;
+import crankwick.settings.SettingsCodec;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -16,37 +26,37 @@
 import java.util.Map;
 
 /** Turns batches of wire lines into events for the routers that it hosts, and their actions into replies. */
-final class Host {
-    private static final Map<String, Result> RESULTS = Map.of(
+final class SimulatorAdapter {
+    private static final Map<String, AttemptResult> RESULTS = Map.of(
             "Ok",
-            Result.OK,
+            AttemptResult.OK,
             "Failed",
-            Result.ERROR,
+            AttemptResult.ERROR,
             "QueueFull",
-            Result.FULL,
+            AttemptResult.REJECTED_OVERLOADED,
             "TimedOut",
-            Result.TIMEOUT,
+            AttemptResult.TIMEOUT,
             "ConnectError",
-            Result.UNREACHABLE,
+            AttemptResult.UNREACHABLE,
             "ResetByPeer",
-            Result.RESET,
+            AttemptResult.RESET,
             "Canceled",
-            Result.CANCELLED,
+            AttemptResult.CANCELLED,
             "Ignored",
-            Result.NOT_SENT,
+            AttemptResult.NOT_SENT,
             "Miss",
-            Result.MISS);
-    private static final Map<String, ListKind> LIST_KINDS = Map.of(
+            AttemptResult.INELIGIBLE_REPLICA);
+    private static final Map<String, EndpointUpdateKind> LIST_KINDS = Map.of(
             "update",
-            ListKind.CHANGES,
+            EndpointUpdateKind.INCREMENTAL,
             "replace",
-            ListKind.FULL,
+            EndpointUpdateKind.FULL,
             "restored",
-            ListKind.RESTORED,
+            EndpointUpdateKind.RESTORED,
             "unavailable",
-            ListKind.UNAVAILABLE);
-    private static final Map<String, Standing> STANDINGS =
-            Map.of("live", Standing.LIVE, "quiescing", Standing.DRAINING, "dead", Standing.GONE);
+            EndpointUpdateKind.UNAVAILABLE);
+    private static final Map<String, EndpointStatus> STANDINGS =
+            Map.of("live", EndpointStatus.LIVE, "quiescing", EndpointStatus.DRAINING, "dead", EndpointStatus.REMOVED);
     private static final Role[] ROLES = {Role.UNKNOWN, Role.PRIMARY, Role.REPLICA, Role.UNKNOWN};
     private static final long ABSENT = Long.MIN_VALUE;
 
@@ -63,12 +73,12 @@
     private final LineReader in;
     private final ReplyWriter out;
     private final Map<Long, Instance> instances = new HashMap<>();
-    private final List<List<RouterApi.Member>> lists = new ArrayList<>();
+    private final List<List<Endpoint>> lists = new ArrayList<>();
     private long now;
     private long id;
     private Instance current;
 
-    Host(InputStream in, OutputStream out) {
+    SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new LineReader(in);
         this.out = new ReplyWriter(out);
     }
@@ -121,15 +131,15 @@
             case "knock" -> tell(knock());
             case "outcome" -> tell(outcome());
             case "pong" -> tell(pong());
-            case "timeout_fired" -> tell(new RouterApi.Timer(in.integer()));
-            case "expired" -> tell(new RouterApi.Gone(in.hex()));
-            case "established" -> tell(new RouterApi.Started(in.hex()));
+            case "timeout_fired" -> tell(new TimerFired(in.integer()));
+            case "expired" -> tell(new RequestAbandoned(in.hex()));
+            case "established" -> tell(new ResponseStarted(in.hex()));
             case "whisper" -> {}
             default -> throw in.malformed("unknown message");
         }
     }
 
-    private void tell(RouterApi.Event event) {
+    private void tell(RoutingEvent event) {
         if (current == null) {
             return;
         }
@@ -147,7 +157,7 @@
         String config = in.text();
         try {
             SettingsCodec codec = new SettingsCodec(config);
-            current = new Instance(codec, new Router(codec.settings, seed));
+            current = new Instance(codec, new Router(codec.routingSettings(), seed));
         } catch (IllegalArgumentException e) {
             throw in.malformed(e.getMessage());
         }
@@ -160,7 +170,7 @@
         if (set < 0 || count < 0) {
             throw in.malformed("not a list");
         }
-        List<RouterApi.Member> members = new ArrayList<>(count);
+        List<Endpoint> members = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             if (!in.nextLine() || !in.word().equals("item")) {
                 throw in.malformed("an item is missing");
@@ -173,95 +183,101 @@
         lists.set(set, members);
     }
 
-    private RouterApi.Member item() {
+    private Endpoint item() {
         String server = in.word();
         int zone = (int) in.integer();
         in.word();
         long group = in.integer();
         Role role = in.decimal(0, 0) == 1 ? Role.PRIMARY : Role.UNKNOWN;
-        Standing standing = STANDINGS.get(in.word());
+        EndpointStatus standing = STANDINGS.get(in.word());
         if (standing == null) {
             throw in.malformed("unknown lifecycle");
         }
         in.word();
-        return new RouterApi.Member(server, zone, group, role, standing, in.atEnd() ? 0 : in.decimal(3, 0));
+        return new Endpoint(server, zone, group, role, standing, in.atEnd() ? 0 : in.decimal(3, 0));
     }
 
     private void membership() {
-        ListKind kind = LIST_KINDS.get(in.word());
+        EndpointUpdateKind kind = LIST_KINDS.get(in.word());
         if (kind == null) {
             throw in.malformed("unknown kind of list");
         }
         in.word();
         int set = (int) in.integer();
-        boolean none = kind == ListKind.UNAVAILABLE;
+        boolean none = kind == EndpointUpdateKind.UNAVAILABLE;
         if (!none && (set < 0 || set >= lists.size())) {
             throw in.malformed("unknown list");
         }
-        tell(new RouterApi.Membership(kind, none ? List.of() : lists.get(set)));
+        tell(new EndpointUpdate(kind, none ? List.of() : lists.get(set)));
     }
 
-    private RouterApi.Request knock() {
+    private RoutingRequest knock() {
         long xid = in.hex();
-        long tokenAge = in.decimal(3, RouterApi.NONE);
+        long tokenAge = in.decimal(3, AbsentValue.NONE);
         long group = in.integer();
         in.word();
-        int cls = (int) in.integer();
+        int classIndex = (int) in.integer();
         in.word();
         in.word();
         long expires = in.decimal(3, 0);
-        long session = in.atEnd() ? RouterApi.NONE : in.decimal(0, RouterApi.NONE);
+        long session = in.atEnd() ? AbsentValue.NONE : in.decimal(0, AbsentValue.NONE);
         if (current != null
-                && (cls < 0 || cls >= current.codec.settings.classes().size())) {
+                && (classIndex < 0
+                        || classIndex
+                                >= current.codec
+                                        .routingSettings()
+                                        .requestClasses()
+                                        .size())) {
             throw in.malformed("unknown class");
         }
-        return new RouterApi.Request(xid, cls, group, session, tokenAge, expires);
+        return new RoutingRequest(xid, classIndex, group, session, tokenAge, expires);
     }
 
-    private RouterApi.Outcome outcome() {
+    private AttemptOutcome outcome() {
         long xid = in.hex();
         boolean over = in.bool();
         long note = in.decimal(0, 0);
-        Result result = result();
+        AttemptResult result = result();
         long duration = in.decimal(3, 0);
         String server = in.word();
         int copy = (int) in.integer();
-        long position = note >> 2 == 0 || current == null ? RouterApi.NONE : current.codec.zero + (note >> 2) * 1000;
-        return new RouterApi.Outcome(
+        long position =
+                note >> 2 == 0 || current == null ? AbsentValue.NONE : current.codec.timeOrigin() + (note >> 2) * 1000;
+        return new AttemptOutcome(
                 xid, copy, over, result, duration, server, ROLES[(int) (note & 3)], position, report());
     }
 
-    private RouterApi.ProbeResult pong() {
-        Result result = result();
+    private HealthCheckResult pong() {
+        AttemptResult result = result();
         long duration = in.decimal(3, 0);
-        return new RouterApi.ProbeResult(in.word(), result, duration, report());
+        return new HealthCheckResult(in.word(), result, duration, report());
     }
 
-    private Result result() {
-        Result result = RESULTS.get(in.word());
+    private AttemptResult result() {
+        AttemptResult result = RESULTS.get(in.word());
         if (result == null) {
             throw in.malformed("unknown result");
         }
         return result;
     }
 
-    private Report report() {
+    private LoadReport report() {
         long[] row = in.atEnd() ? null : in.row();
         if (row == null || current == null) {
             return null;
         }
-        long position = RouterApi.NONE;
+        long position = AbsentValue.NONE;
         Role role = Role.UNKNOWN;
         double backlog = Double.NaN;
         double utilization = Double.NaN;
         double inFlight = Double.NaN;
-        List<String> fields = current.codec.reportFields;
+        List<String> fields = current.codec.reportFields();
         for (int i = 0; i < Math.min(row.length, fields.size()); i++) {
             if (row[i] == ABSENT) {
                 continue;
             }
             switch (fields.get(i)) {
-                case "x0" -> position = current.codec.zero + row[i];
+                case "x0" -> position = current.codec.timeOrigin() + row[i];
                 case "x1" -> role = row[i] == 1_000_000 ? Role.PRIMARY : Role.REPLICA;
                 case "backlog" -> backlog = row[i] / 1e6;
                 case "utilization" -> utilization = row[i] / 1e6;
@@ -269,6 +285,6 @@
                 default -> {}
             }
         }
-        return new Report(position, role, backlog, utilization, inFlight);
+        return new LoadReport(position, role, backlog, utilization, inFlight);
     }
 }
--- a/src/main/java/crankwick/simhost/Simhost.java
+++ b/src/main/java/crankwick/simulator/SimulatorCommand.java
@@ -1,4 +1,4 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -6,13 +6,14 @@
 import java.io.IOException;
 
 /** Hosts routers on the simulator's wire: standard input to standard output. */
-public final class Simhost {
-    private Simhost() {}
+public final class SimulatorCommand {
+    private SimulatorCommand() {}
 
     /** Returns at the end of input; exits 2 on malformed input. */
     public static void run() throws IOException {
         try {
-            new Host(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out)).run();
+            new SimulatorAdapter(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out))
+                    .run();
         } catch (WireException e) {
             System.err.println(e.getMessage());
             System.exit(2);
--- a/src/main/java/crankwick/simhost/WireException.java
+++ b/src/main/java/crankwick/simulator/WireException.java
@@ -1,4 +1,4 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
 /** Malformed wire input; the message names the line at fault. */
 final class WireException extends RuntimeException {
--- a/src/main/java/crankwick/simhost/package-info.java
+++ b/src/main/java/crankwick/simulator/package-info.java
@@ -1,4 +1,4 @@
 /**
  * The decision module on the simulator's text protocol, many instances in one process.
  */
-package crankwick.simhost;
+package crankwick.simulator;
--- a/src/main/java/crankwick/tds/TdsFrontCodec.java
+++ b/src/main/java/crankwick/tds/TdsClientCodec.java
@@ -1,15 +1,15 @@
 package crankwick.tds;
 
-import crankwick.RouterApi;
 import crankwick.broker.Reply;
+import crankwick.net.ClientMessage;
+import crankwick.net.ClientReply;
 import crankwick.net.CodecFilter;
-import crankwick.net.FrontMessage;
-import crankwick.net.FrontReply;
+import crankwick.routing.api.AbsentValue;
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
 /** The client's side of TDS: no encryption, SQL batches, attentions; the login's user names the team. */
-public final class TdsFrontCodec extends CodecFilter {
+public final class TdsClientCodec extends CodecFilter {
     private static final int LOGIN_USER = 40;
     private static final int ERROR_SEVERITY = 16;
     private static final int FATAL_SEVERITY = 20;
@@ -30,13 +30,13 @@
                 loggedIn = true;
                 int from = body.getShort(LOGIN_USER) & 0xFFFF;
                 int chars = body.getShort(LOGIN_USER + 2) & 0xFFFF;
-                emit(new FrontMessage.Login(text(body.position(from), chars)));
+                emit(new ClientMessage.Login(text(body.position(from), chars)));
             } else if (type == Tds.SQL_BATCH && loggedIn) {
                 body.position(body.getInt());
                 String text = text(body, body.remaining() / 2);
-                emit(text.isBlank() ? new FrontMessage.Empty() : new FrontMessage.Query(text));
+                emit(text.isBlank() ? new ClientMessage.Empty() : new ClientMessage.Query(text));
             } else if (type == Tds.ATTENTION && loggedIn) {
-                emit(new FrontMessage.Attention());
+                emit(new ClientMessage.Attention());
             } else {
                 throw new IllegalArgumentException("a message of type " + type + " out of place");
             }
@@ -44,22 +44,22 @@
 
         @Override
         protected Object brokenBy(String fault) {
-            return new FrontMessage.Broken(fault);
+            return new ClientMessage.Broken(fault);
         }
     }
 
     @Override
     public byte[] encode(Object value) {
         TdsWriter out = new TdsWriter();
-        if (value instanceof FrontReply.Final f) {
+        if (value instanceof ClientReply.Final f) {
             answer(out, f.reply());
-        } else if (value instanceof FrontReply.Nothing) {
+        } else if (value instanceof ClientReply.Nothing) {
             out.done(0, 0);
-        } else if (value instanceof FrontReply.AttentionHeard) {
+        } else if (value instanceof ClientReply.AttentionHeard) {
             out.done(Tds.DONE_ATTENTION, 0);
-        } else if (value instanceof FrontReply.Unreadable u) {
+        } else if (value instanceof ClientReply.Unreadable u) {
             error(out, Tds.UNREADABLE, u.fault());
-        } else if (value instanceof FrontReply.Fatal f) {
+        } else if (value instanceof ClientReply.Fatal f) {
             int number =
                     switch (f.cause()) {
                         case TOO_MANY -> Tds.TOO_MANY;
@@ -85,13 +85,13 @@
 
     private static void answer(TdsWriter out, Reply reply) {
         if (reply instanceof Reply.Served served) {
-            if (served.position() != RouterApi.NONE) {
+            if (served.position() != AbsentValue.NONE) {
                 long millis = Math.floorDiv(served.position() + 999, 1_000L);
                 out.message(Tds.INFO, Tds.FACT, 0, "wal_time=" + millis);
             }
             out.row(served.value());
             out.done(Tds.DONE_COUNT, 1);
-        } else if (reply instanceof Reply.Refused refused) {
+        } else if (reply instanceof Reply.Rejected refused) {
             if (refused.retryAfter() > 0) {
                 out.message(Tds.INFO, Tds.FACT, 0, "retry_after=" + (refused.retryAfter() + 999) / 1_000);
             }
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -1,13 +1,13 @@
 package crankwick.tds;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
 import crankwick.net.CodecFilter;
 import crankwick.net.DatabaseCommand;
 import crankwick.net.DatabaseMessage;
-import crankwick.net.ReportCodec;
+import crankwick.net.LoadReportCodec;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
@@ -55,8 +55,8 @@
         private int maxLength;
         private byte[] value;
         private Role role = Role.UNKNOWN;
-        private long position = RouterApi.NONE;
-        private Report report;
+        private long position = AbsentValue.NONE;
+        private LoadReport report;
 
         @Override
         protected void asked(Object command) {
@@ -84,7 +84,7 @@
                 return;
             }
             require(error != 0 || rowSeen != probe, "an answer without its row");
-            Result result = error == 0 ? Result.OK : result(error);
+            AttemptResult result = error == 0 ? AttemptResult.OK : result(error);
             var answer = new DatabaseMessage.Answered(result, role, position, report, value, fatal || !greeted);
             clear();
             emitLast(answer);
@@ -135,9 +135,9 @@
                 int equals = text.indexOf('=');
                 String content = text.substring(equals + 1);
                 switch (text.substring(0, Math.max(0, equals))) {
-                    case "mode" -> role = ReportCodec.role(content);
-                    case "wal_time" -> position = ReportCodec.position(content);
-                    case "stats" -> report = ReportCodec.parse(content);
+                    case "mode" -> role = LoadReportCodec.role(content);
+                    case "wal_time" -> position = LoadReportCodec.position(content);
+                    case "stats" -> report = LoadReportCodec.parse(content);
                     default -> {}
                 }
             }
@@ -176,7 +176,7 @@
             fatal = false;
             value = null;
             role = Role.UNKNOWN;
-            position = RouterApi.NONE;
+            position = AbsentValue.NONE;
             report = null;
         }
 
@@ -191,11 +191,11 @@
             }
         }
 
-        private static Result result(int number) {
+        private static AttemptResult result(int number) {
             return switch (number) {
-                case Tds.READ_ONLY, Tds.BEHIND -> Result.MISS;
-                case Tds.TURNED_AWAY, Tds.TOO_MANY -> Result.FULL;
-                default -> Result.ERROR;
+                case Tds.READ_ONLY, Tds.BEHIND -> AttemptResult.INELIGIBLE_REPLICA;
+                case Tds.TURNED_AWAY, Tds.TOO_MANY -> AttemptResult.REJECTED_OVERLOADED;
+                default -> AttemptResult.ERROR;
             };
         }
     }
--- a/src/main/java/crankwick/tds/TdsMemberCodec.java
+++ b/src/main/java/crankwick/tds/TdsEmulatorCodec.java
@@ -1,17 +1,17 @@
 package crankwick.tds;
 
-import crankwick.RouterApi.Result;
+import crankwick.net.ClientReply;
 import crankwick.net.CodecFilter;
 import crankwick.net.DatabaseReply;
-import crankwick.net.FrontReply;
+import crankwick.routing.api.AttemptResult;
 import java.nio.charset.StandardCharsets;
 
 /** A database's side of TDS, for emulated ones: reads as the front does. */
-public final class TdsMemberCodec extends CodecFilter {
+public final class TdsEmulatorCodec extends CodecFilter {
     private static final int SEVERITY = 16;
     private static final int ERROR_NUMBER = 8650;
 
-    private final TdsFrontCodec front = new TdsFrontCodec();
+    private final TdsClientCodec front = new TdsClientCodec();
 
     @Override
     protected Decoder newDecoder() {
@@ -20,7 +20,7 @@
 
     @Override
     public byte[] encode(Object value) {
-        if (value instanceof FrontReply) {
+        if (value instanceof ClientReply) {
             return front.encode(value);
         }
         DatabaseReply reply = (DatabaseReply) value;
@@ -28,17 +28,17 @@
         out.message(Tds.INFO, Tds.FACT, 0, "mode=" + reply.mode());
         out.message(Tds.INFO, Tds.FACT, 0, "wal_time=" + reply.millis());
         out.message(Tds.INFO, Tds.FACT, 0, "stats=" + reply.stats());
-        if (reply.result() == Result.OK && !reply.probe()) {
+        if (reply.result() == AttemptResult.OK && !reply.probe()) {
             byte[] row = reply.value().getBytes(StandardCharsets.ISO_8859_1);
             out.row(row);
             out.done(Tds.DONE_COUNT, 1);
-        } else if (reply.result() == Result.OK) {
+        } else if (reply.result() == AttemptResult.OK) {
             out.done(0, 0);
         } else {
             int number =
                     switch (reply.result()) {
-                        case MISS -> reply.write() ? Tds.READ_ONLY : Tds.BEHIND;
-                        case FULL -> Tds.TURNED_AWAY;
+                        case INELIGIBLE_REPLICA -> reply.write() ? Tds.READ_ONLY : Tds.BEHIND;
+                        case REJECTED_OVERLOADED -> Tds.TURNED_AWAY;
                         default -> ERROR_NUMBER;
                     };
             out.message(Tds.ERROR, number, SEVERITY, "emulated " + reply.result())
--- /dev/null
+++ b/src/test/java/crankwick/PackageOrderTest.java
@@ -0,0 +1,91 @@
+package crankwick;
+
+import static com.tngtech.archunit.base.DescribedPredicate.not;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAPackage;
+import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** Holds the order of the packages that docs/architecture.md states. */
+class PackageOrderTest {
+    /** What each package may depend on within the project. */
+    private static final Map<String, List<String>> ALLOWED = Map.ofEntries(
+            Map.entry("routing.api", List.of()),
+            Map.entry("routing", List.of("routing.api")),
+            Map.entry("settings", List.of("routing.api")),
+            Map.entry("statement", List.of()),
+            Map.entry("failover", List.of("routing.api")),
+            Map.entry("broker", List.of("routing", "routing.api", "failover")),
+            Map.entry("model", List.of("routing.api")),
+            Map.entry("simulator", List.of("routing", "routing.api", "settings")));
+
+    /** Packages that decide: (event, now) in, actions out. */
+    private static final String[] DECIDING = {
+        "crankwick.routing..", "crankwick.failover..", "crankwick.broker..", "crankwick.model.."
+    };
+
+    private static final JavaClasses PROJECT = new ClassFileImporter()
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+            .importPackages("crankwick");
+
+    @Test
+    void packagesDependOnlyOnThoseBelow() {
+        ALLOWED.forEach((name, below) -> {
+            List<String> allowed = new ArrayList<>();
+            allowed.add("crankwick." + name);
+            below.forEach(other -> allowed.add("crankwick." + other));
+            noClasses()
+                    .that()
+                    .resideInAPackage("crankwick." + name)
+                    .should()
+                    .dependOnClassesThat(resideInAPackage("crankwick..")
+                            .and(not(resideInAnyPackage(allowed.toArray(new String[0])))))
+                    .check(PROJECT);
+        });
+    }
+
+    @Test
+    void decidingPackagesHaveNoInputOutputThreadsOrClocks() {
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECIDING)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io..",
+                        "java.net..",
+                        "java.nio..",
+                        "java.time..",
+                        "java.util.concurrent..",
+                        "org.glassfish..",
+                        "org.slf4j..")
+                .orShould()
+                .dependOnClassesThat()
+                .areAssignableTo(Thread.class)
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(PROJECT);
+    }
+
+    @Test
+    void routingInterfaceIsImmutable() {
+        classes()
+                .that()
+                .resideInAPackage("crankwick.routing.api")
+                .and()
+                .areNotInterfaces()
+                .should()
+                .haveOnlyFinalFields()
+                .check(PROJECT);
+    }
+}
--- a/src/test/java/crankwick/app/LeaveIT.java
+++ b/src/test/java/crankwick/app/ClientDisconnectIT.java
@@ -13,7 +13,7 @@
  * once they have gone. The program runs as a process; databases break the connection under each attempt, so that
  * it would be sent again.
  */
-public class LeaveIT extends OnBothWires {
+public class ClientDisconnectIT extends OnBothWires {
     private static final int LARGE = 80_000;
     private static final int MEDIUM = 40_000;
     private static final int MANY = 1_100;
@@ -43,7 +43,7 @@
         for (Object[] wire : wires()) {
             for (Sent sent : Sent.values()) {
                 for (Way way : Way.values()) {
-                    if (way != Way.CANCEL || wire[0] instanceof TdsWire) {
+                    if (way != Way.CANCEL || wire[0] instanceof TdsTestClient) {
                         all.add(new Object[] {wire[0], sent, way});
                     }
                 }
@@ -54,7 +54,7 @@
 
     /** A deployment for each, as failures count against a database and would keep others from being sent again. */
     @Test(dataProvider = "leavers")
-    public void nothingIsSentAgainForAClientThatHasGone(Wire wire, Sent sent, Way way) throws Exception {
+    public void nothingIsSentAgainForAClientThatHasGone(TestWireClient wire, Sent sent, Way way) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client leaver = d.client()) {
             d.databases.forEach(database -> database.delayMs = ATTEMPT_MS);
@@ -85,9 +85,9 @@
         return write;
     }
 
-    private static void leave(Wire wire, Deployment.Client client, Way way) throws IOException {
+    private static void leave(TestWireClient wire, Deployment.Client client, Way way) throws IOException {
         switch (way) {
-            case CANCEL -> ((TdsWire) wire).attention(client.socket);
+            case CANCEL -> ((TdsTestClient) wire).attention(client.socket);
             case RESET -> {
                 client.socket.setSoLinger(true, 0);
                 client.close();
@@ -101,7 +101,7 @@
      * another one, and its other half while the first is still out.
      */
     @Test(dataProvider = "wires")
-    public void halfACommandBehindALargeOneIsNoStall(Wire wire) throws Exception {
+    public void halfACommandBehindALargeOneIsNoStall(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 2_800;
@@ -112,7 +112,7 @@
             Thread.sleep(1_000);
             client.socket.getOutputStream().write(second, second.length - 7, 7);
             assertEquals(client.answer().value(), "s-a:" + first);
-            Wire.Answer answer = client.answer();
+            TestWireClient.Answer answer = client.answer();
             assertEquals(answer.kind(), "SERVED", answer + " " + d.log);
             kept(d);
         }
--- a/src/test/java/crankwick/app/FrontsIT.java
+++ b/src/test/java/crankwick/app/ClientListenerIT.java
@@ -14,15 +14,15 @@
 import org.testng.annotations.Test;
 
 /** What only one of the fronts has. */
-public class FrontsIT {
-    private static String statement(String id, String cls) {
-        return "/* id=" + id + ",c=" + cls + ",d=2000,k=1,cluster=0 */ SELECT val FROM state";
+public class ClientListenerIT {
+    private static String statement(String id, String classIndex) {
+        return "/* id=" + id + ",c=" + classIndex + ",d=2000,k=1,cluster=0 */ SELECT val FROM state";
     }
 
     /** Guards against answers that overtake each other: the write is slow, the read behind it is not. */
     @Test
     public void pgAnswersKeepTheCommandsOrder() throws Exception {
-        try (Deployment d = new Deployment(new PgWire());
+        try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 300;
             client.send(statement("1", "reserve"));
@@ -37,7 +37,7 @@
 
     @Test
     public void pgTakesByteByByteWhatFollowsARefusedEncryption() throws Exception {
-        PgWire wire = new PgWire();
+        PgTestClient wire = new PgTestClient();
         try (Deployment d = new Deployment(wire);
                 Socket socket = d.connect()) {
             socket.getOutputStream().write(new byte[] {0, 0, 0, 8, 4, (byte) 0xD2, 22, 47});
@@ -58,7 +58,7 @@
 
     @Test
     public void tdsTeamsKeepToTheirContracts() throws Exception {
-        TdsWire wire = new TdsWire();
+        TdsTestClient wire = new TdsTestClient();
         try (Deployment d = new Deployment(wire);
                 Deployment.Client reports = d.new Client("reports");
                 Deployment.Client more = d.new Client("reports");
@@ -70,7 +70,7 @@
             reports.send(statement("2", "map-view"));
             more.send(statement("3", "map-view"));
             Thread.sleep(100);
-            Wire.Answer over = third.ask(statement("4", "map-view"));
+            TestWireClient.Answer over = third.ask(statement("4", "map-view"));
             assertEquals(over.code(), "50103", over.toString());
             assertTrue(over.retryAfter() > 0, over.toString());
             // Their deadline is capped at 400 ms, though they would wait longer.
@@ -79,7 +79,7 @@
             assertTrue(more.answer().kind().matches("REFUSED|FAILED"));
             assertTrue(System.nanoTime() - start < 1_500_000_000L);
             d.databases.forEach(database -> database.delayMs = 0);
-            Wire.Answer last = null;
+            TestWireClient.Answer last = null;
             for (int i = 5; i < 60 && (last == null || !last.code().equals("50102")); i++) {
                 last = third.ask(statement("" + i, "map-view"));
             }
@@ -92,7 +92,7 @@
     /** Guards against the withdrawn request's answer coming after the attention's. */
     @Test
     public void tdsAttentionWithdrawsTheBatch() throws Exception {
-        TdsWire wire = new TdsWire();
+        TdsTestClient wire = new TdsTestClient();
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 500;
--- a/src/test/java/crankwick/app/ClientsIT.java
+++ b/src/test/java/crankwick/app/ClientsIT.java
@@ -13,7 +13,7 @@
 /** Clients of all habits, and the end of the process, the same checks on both wires. */
 public class ClientsIT extends OnBothWires {
     @Test(dataProvider = "wires")
-    public void statementThatCantBeReadFailsAlone(Wire wire) throws Exception {
+    public void statementThatCantBeReadFailsAlone(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             List<String> hints = List.of(
@@ -42,7 +42,7 @@
     }
 
     @Test(dataProvider = "wires")
-    public void nonsenseEndsOnlyItsOwnConnection(Wire wire) throws Exception {
+    public void nonsenseEndsOnlyItsOwnConnection(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             for (byte[] bytes : wire.nonsense()) {
@@ -64,7 +64,7 @@
 
     /** Guards against connections held by who says nothing, stops midway, or goes on beyond all bounds. */
     @Test(dataProvider = "wires")
-    public void whoDoesNotAskInTimeOrWithoutEndIsLetGo(Wire wire) throws Exception {
+    public void whoDoesNotAskInTimeOrWithoutEndIsLetGo(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
@@ -97,7 +97,7 @@
 
     /** Guards against a reset that destroys the error, and against memory for whatever is said to come. */
     @Test(dataProvider = "wires")
-    public void tooLargeACommandIsToldSoBehindWhatWasAskedBefore(Wire wire) throws Exception {
+    public void tooLargeACommandIsToldSoBehindWhatWasAskedBefore(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 300;
@@ -113,7 +113,7 @@
 
     /** Guards against a client's commands being dropped because they are many. */
     @Test(dataProvider = "wires")
-    public void hundredsOfCommandsAtOnceAreAllAnsweredInTurn(Wire wire) throws Exception {
+    public void hundredsOfCommandsAtOnceAreAllAnsweredInTurn(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             int last = Integer.parseInt(id());
@@ -121,7 +121,7 @@
                 client.send(i % 2 == 0 ? statement("map-view", 10_000, "") : "SELECT " + i);
             }
             for (int i = 0; i < 400; i++) {
-                Wire.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.answer();
                 assertTrue(
                         i % 2 == 1
                                 ? answer.kind().equals("FAILED")
@@ -134,7 +134,7 @@
 
     /** Guards against two attempts in flight under one id, whoever sends it. */
     @Test(dataProvider = "wires")
-    public void idOfAnOpenRequestServesNobodyElse(Wire wire) throws Exception {
+    public void idOfAnOpenRequestServesNobodyElse(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client();
                 Deployment.Client other = d.client()) {
@@ -159,7 +159,7 @@
     }
 
     @Test(dataProvider = "wires")
-    public void clientThatLeavesTakesNothingWithIt(Wire wire) throws Exception {
+    public void clientThatLeavesTakesNothingWithIt(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.delayMs = 400);
@@ -174,12 +174,12 @@
 
     /** Guards against work begun for a client that has gone, on a connection that came up after it had. */
     @Test(dataProvider = "wires")
-    public void nothingIsBegunForAClientThatHasGone(Wire wire) throws Exception {
+    public void nothingIsBegunForAClientThatHasGone(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0")) {
             d.databases.forEach(database -> database.greetMs = 1_000);
-            for (String cls : List.of("reserve", "map-view")) {
+            for (String classIndex : List.of("reserve", "map-view")) {
                 try (Deployment.Client leaver = d.client()) {
-                    leaver.send(statement(cls, 3000, ""));
+                    leaver.send(statement(classIndex, 3000, ""));
                     Thread.sleep(300);
                 }
             }
@@ -194,7 +194,7 @@
 
     /** Guards against a request behind another after SIGTERM that wants more time than is left. */
     @Test(dataProvider = "wires")
-    public void requestBehindAnotherAfterSigtermIsAnsweredBeforeTheEnd(Wire wire) throws Exception {
+    public void requestBehindAnotherAfterSigtermIsAnsweredBeforeTheEnd(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.word = "SILENT");
@@ -204,7 +204,7 @@
             Thread.sleep(1_200);
             client.send(statement("reserve", 3000, ""));
             for (int i = 0; i < 2; i++) {
-                Wire.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.answer();
                 assertTrue(answer.kind().matches("FAILED|REFUSED"), i + ": " + answer);
             }
             assertTrue(d.process.waitFor(10, TimeUnit.SECONDS));
@@ -214,7 +214,7 @@
 
     /** Planned restarts must lose nothing: what is out is answered, and only then does the program end. */
     @Test(dataProvider = "wires")
-    public void sigtermLosesNothingThatWasTaken(Wire wire) throws Exception {
+    public void sigtermLosesNothingThatWasTaken(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client idle = d.client();
                 Deployment.Client late = d.client()) {
--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -40,11 +40,11 @@
             wire.ask(socket, statement);
         }
 
-        Wire.Answer answer() throws IOException {
+        TestWireClient.Answer answer() throws IOException {
             return wire.answer(in);
         }
 
-        Wire.Answer ask(String statement) throws IOException {
+        TestWireClient.Answer ask(String statement) throws IOException {
             send(statement);
             return answer();
         }
@@ -55,11 +55,11 @@
         }
     }
 
-    final Wire wire;
+    final TestWireClient wire;
     private final String part;
     private final String instead;
-    final StandIn.Ledger ledger = new StandIn.Ledger();
-    final List<StandIn> databases = new ArrayList<>();
+    final ScriptedDatabase.Ledger ledger = new ScriptedDatabase.Ledger();
+    final List<ScriptedDatabase> databases = new ArrayList<>();
     final List<String> log = new CopyOnWriteArrayList<>();
     final Process process;
     /** Fills the log; ends when the program has. */
@@ -87,22 +87,22 @@
 
     private long heldUntil;
 
-    Deployment(Wire wire) throws IOException, InterruptedException {
+    Deployment(TestWireClient wire) throws IOException, InterruptedException {
         this(wire, "", "");
     }
 
     /** Of the operator's file and of the settings in it, one part reads otherwise. */
-    Deployment(Wire wire, String part, String instead) throws IOException, InterruptedException {
+    Deployment(TestWireClient wire, String part, String instead) throws IOException, InterruptedException {
         this.wire = wire;
         this.part = part;
         this.instead = instead;
         for (String name : List.of("s-a", "s-b", "s-c")) {
-            databases.add(new StandIn(name, name.equals("s-a") ? "read-write" : "read-only", wire, ledger));
+            databases.add(new ScriptedDatabase(name, name.equals("s-a") ? "read-write" : "read-only", wire, ledger));
             states.put(name, "up");
         }
         discovery = new ScriptedDiscovery(this::list);
         writeZone();
-        boolean pg = wire instanceof PgWire;
+        boolean pg = wire instanceof PgTestClient;
         Files.writeString(config, pg ? platformConfig() : operatorFile());
         process = start(pg ? config : null, pg ? null : config);
         port = awaitPort();
@@ -126,7 +126,7 @@
         discovery = new ScriptedDiscovery(lists);
         zoneFile = "moved.zone";
         writeZone();
-        reload(wire instanceof PgWire ? platformConfig() : operatorFile());
+        reload(wire instanceof PgTestClient ? platformConfig() : operatorFile());
         return old;
     }
 
@@ -236,7 +236,7 @@
                     + "  \"zone\": \"ulemiste\",\n  \"cell\": " + (1 + i / 5)
                     + ",\n  \"state\": \"up\",\n  \"started_ms\": 0\n}");
         }
-        for (StandIn d : databases) {
+        for (ScriptedDatabase d : databases) {
             entries.add((spoilt && d.name.equals("s-a") ? "{\"id\":\"s-x\",\"state\":\"odd\"}," : "")
                     + "{\"id\":\"" + d.name + "\",\"addr\":\"127.0.0.1"
                     + (isUnreadable(d) ? "" : ":" + d.listener.getLocalPort())
@@ -247,13 +247,13 @@
                 + "]}";
     }
 
-    private boolean isUnreadable(StandIn d) {
+    private boolean isUnreadable(ScriptedDatabase d) {
         return spoilt && states.get(d.name).equals("draining");
     }
 
     private void writeZone() throws IOException {
         StringBuilder zone = new StringBuilder("$TTL 5\ndb.stations.example. IN A 127.0.0.1\n");
-        for (StandIn d : databases) {
+        for (ScriptedDatabase d : databases) {
             zone.append(spoilt ? "@ IN PTR nowhere._tds._tcp.stations.example.\n" : "")
                     .append("@ IN PTR ")
                     .append(d.name)
@@ -277,12 +277,12 @@
     }
 
     /** Changes the list, and gives the program time to hear of it. */
-    void list(StandIn database, String state) throws IOException, InterruptedException {
+    void list(ScriptedDatabase database, String state) throws IOException, InterruptedException {
         list(Map.of(database.name, state));
     }
 
     /** Only this database drains; the change is told at once, as above. */
-    void onlyDrains(StandIn database) throws IOException, InterruptedException {
+    void onlyDrains(ScriptedDatabase database) throws IOException, InterruptedException {
         Map<String, String> all = new LinkedHashMap<>();
         databases.forEach(d -> all.put(d.name, d == database ? "draining" : "up"));
         list(all);
@@ -314,11 +314,11 @@
         return new Client("collectors");
     }
 
-    StandIn primary() {
+    ScriptedDatabase primary() {
         return databases.get(0);
     }
 
-    List<StandIn> replicas() {
+    List<ScriptedDatabase> replicas() {
         return databases.subList(1, 3);
     }
 
@@ -351,7 +351,7 @@
             Thread.currentThread().interrupt();
         }
         discovery.close();
-        for (StandIn database : databases) {
+        for (ScriptedDatabase database : databases) {
             database.close();
         }
     }
--- a/src/test/java/crankwick/app/DrainsIT.java
+++ b/src/test/java/crankwick/app/DrainsIT.java
@@ -12,10 +12,10 @@
 /** What the list of databases says is honoured, whatever becomes of it on its way, on both wires. */
 public class DrainsIT extends OnBothWires {
     @Test(dataProvider = "wires")
-    public void drainingReplicaGetsNothingNew(Wire wire) throws Exception {
+    public void drainingReplicaGetsNothingNew(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            StandIn draining = d.replicas().get(0);
+            ScriptedDatabase draining = d.replicas().get(0);
             client.ask(statement("map-view", 1000, ""));
             d.list(draining, "draining");
             Thread.sleep(1_000);
@@ -30,10 +30,10 @@
 
     /** Lists are pushed, says the file, and entries can't be read in part: no drain is missed for either. */
     @Test(dataProvider = "wires")
-    public void drainsOfPushedAndOfPartlySpoiltListsAreHeard(Wire wire) throws Exception {
+    public void drainsOfPushedAndOfPartlySpoiltListsAreHeard(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "\"ask\"", "\"push\"");
                 Deployment.Client client = d.client()) {
-            StandIn draining = lastServing(d, client);
+            ScriptedDatabase draining = lastServing(d, client);
             d.spoilt = true;
             d.list(draining, "draining");
             for (int i = 0; i < 20; i++) {
@@ -46,10 +46,10 @@
 
     /** A connection comes up late, its database begins to drain meanwhile: the write goes to the next. */
     @Test(dataProvider = "wires")
-    public void sendThatHasNotBegunIsDecidedAnewWhenItsDatabaseDrains(Wire wire) throws Exception {
+    public void sendThatHasNotBegunIsDecidedAnewWhenItsDatabaseDrains(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0");
                 Deployment.Client client = d.client()) {
-            StandIn old = d.primary();
+            ScriptedDatabase old = d.primary();
             old.greetMs = 3_000;
             client.send(statement("reserve", 9_000, ""));
             while (old.opened.get() == 0) {
@@ -66,8 +66,8 @@
     }
 
     /** The replica that reads go to: what they would do if they did not hear that it drains. */
-    private StandIn lastServing(Deployment d, Deployment.Client client) throws IOException {
-        Wire.Answer answer = client.ask(statement("map-view", 1000, ""));
+    private ScriptedDatabase lastServing(Deployment d, Deployment.Client client) throws IOException {
+        TestWireClient.Answer answer = client.ask(statement("map-view", 1000, ""));
         return d.replicas().stream()
                 .filter(r -> answer.value().startsWith(r.name))
                 .findAny()
@@ -80,17 +80,17 @@
      */
     @Test
     public void drainMissedByASilentWatchIsHonouredInTime() throws Exception {
-        try (Deployment d = new Deployment(new PgWire());
+        try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             long latest = d.silence(2_000) + TimeUnit.MILLISECONDS.toNanos(2_000 + 50);
-            for (StandIn replica : d.replicas()) {
+            for (ScriptedDatabase replica : d.replicas()) {
                 d.list(replica, "draining");
             }
             while (System.nanoTime() < latest + TimeUnit.SECONDS.toNanos(1)) {
                 assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
                 Thread.sleep(20);
             }
-            List<StandIn.Seen> after =
+            List<ScriptedDatabase.Seen> after =
                     d.ledger.seen.stream().filter(seen -> seen.at() > latest).toList();
             assertTrue(
                     !after.isEmpty() && after.stream().allMatch(s -> s.server().equals("s-a")), after.toString());
@@ -100,7 +100,7 @@
 
     /** Guards against SIGHUP ending the program, and against a list that is no longer heard after it. */
     @Test(dataProvider = "wires")
-    public void reloadMovesTheWatchAndSurvivesAnUnreadableFile(Wire wire) throws Exception {
+    public void reloadMovesTheWatchAndSurvivesAnUnreadableFile(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.reload("{ \"discovery\": ");
@@ -123,11 +123,11 @@
      * from the one attempt that it had, and what comes after goes to the new primary alone.
      */
     @Test(dataProvider = "wires")
-    public void reservationInFlightOutlivesItsPrimarysDrain(Wire wire) throws Exception {
+    public void reservationInFlightOutlivesItsPrimarysDrain(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client first = d.client();
                 Deployment.Client later = d.client()) {
-            StandIn old = d.primary();
+            ScriptedDatabase old = d.primary();
             assertEquals(first.ask(statement("reserve", 3000, "")).value(), "s-a:" + id());
             old.delayMs = 2_000;
             first.send(statement("reserve", 10_000, ""));
@@ -151,7 +151,7 @@
     /** Discovery moves while its last answer is on its way: it was told, though the new one is silent. */
     @Test
     public void answerOnItsWayWhenTheWatchMovesIsHeard() throws Exception {
-        try (Deployment d = new Deployment(new PgWire());
+        try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             d.discovery.pauseMs = 3_000;
             d.list(Map.of("s-b", "draining", "s-c", "draining"));
@@ -171,11 +171,11 @@
     /** Answers of all forms are read; what is no list is asked for again, and undoes nothing told. */
     @Test
     public void answersOfAllFormsAreReadOrAskedForAgain() throws Exception {
-        try (Deployment d = new Deployment(new PgWire());
+        try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            StandIn before = d.primary();
+            ScriptedDatabase before = d.primary();
             for (ScriptedDiscovery.Form form : ScriptedDiscovery.Form.values()) {
-                StandIn draining = d.replicas().get(form.ordinal() % 2);
+                ScriptedDatabase draining = d.replicas().get(form.ordinal() % 2);
                 d.discovery.form = form;
                 d.onlyDrains(draining);
                 if (!form.isWhole()) {
@@ -190,7 +190,7 @@
         }
     }
 
-    private void assertNoneAt(StandIn draining, Deployment d, Deployment.Client client, Object when)
+    private void assertNoneAt(ScriptedDatabase draining, Deployment d, Deployment.Client client, Object when)
             throws IOException {
         int before = d.ledger.at(draining.name).size();
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/crankwick/app/HandoverIT.java
+++ b/src/test/java/crankwick/app/FailoverIT.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import crankwick.emulate.Emulation;
-import crankwick.emulate.EmulationLedger;
-import crankwick.emulate.MemberList;
+import crankwick.emulator.DatabaseEmulator;
+import crankwick.emulator.EmulatedEndpointList;
+import crankwick.emulator.ExecutionLog;
 import crankwick.net.CodecFilter;
-import crankwick.pg.PgMemberCodec;
-import crankwick.tds.TdsMemberCodec;
+import crankwick.pg.PgEmulatorCodec;
+import crankwick.tds.TdsEmulatorCodec;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.Socket;
@@ -31,14 +31,14 @@
 
 /**
  * The real program before emulated groups that change primaries, on both wires. The properties
- * crankwick.handover.seconds, .changes and .rate make it longer: 60, 20 and 200 are the measurement's.
+ * crankwick.failover.seconds, .changes and .rate make it longer: 60, 20 and 200 are the measurement's.
  */
-public class HandoverIT {
+public class FailoverIT {
     private static final int GROUPS = 4;
     private static final int CLIENTS = 120;
-    private static final int SECONDS = Integer.getInteger("crankwick.handover.seconds", 12);
-    private static final int CHANGES = Integer.getInteger("crankwick.handover.changes", 4);
-    private static final int RATE = Integer.getInteger("crankwick.handover.rate", 120);
+    private static final int SECONDS = Integer.getInteger("crankwick.failover.seconds", 12);
+    private static final int CHANGES = Integer.getInteger("crankwick.failover.changes", 4);
+    private static final int RATE = Integer.getInteger("crankwick.failover.rate", 120);
     private static final long DEADLINE = 3_000_000;
     private static final long KEY_TTL = 2_000_000;
     /** For finding the new primary and for the write itself, on a machine that others use too. */
@@ -59,19 +59,22 @@
     private final Path folder;
 
     /** Makes the folder of the zone files. */
-    public HandoverIT() throws IOException {
+    public FailoverIT() throws IOException {
         folder = Files.createTempDirectory("handover");
     }
 
     @DataProvider
     public Object[][] wires() {
-        return new Object[][] {{new PgWire(), new PgMemberCodec()}, {new TdsWire(), new TdsMemberCodec()}};
+        return new Object[][] {
+            {new PgTestClient(), new PgEmulatorCodec()}, {new TdsTestClient(), new TdsEmulatorCodec()}
+        };
     }
 
     @Test(dataProvider = "wires")
-    public void everyKeyIsAccountedForOverChangesOfAllKinds(Wire wire, CodecFilter codec) throws Exception {
+    public void everyKeyIsAccountedForOverChangesOfAllKinds(TestWireClient wire, CodecFilter codec) throws Exception {
         Path zone = folder.resolve(wire.getClass().getSimpleName() + ".zone");
-        try (Emulation emulation = new Emulation(codec, GROUPS, 17, new MemberList("ulemiste", zone))) {
+        try (DatabaseEmulator emulation =
+                new DatabaseEmulator(codec, GROUPS, 17, new EmulatedEndpointList("ulemiste", zone))) {
             List<String> log = new CopyOnWriteArrayList<>();
             Process proxy = start(wire, emulation, zone);
             Thread reader = Deployment.read(proxy, log);
@@ -91,10 +94,11 @@
 
     /** Guards against what is held for a primary being lost, or sent and not told, when the process ends. */
     @Test(dataProvider = "wires")
-    public void whatIsHeldIsAnsweredWhenTheProxyEndsInTheMiddleOfAChange(Wire wire, CodecFilter codec)
+    public void whatIsHeldIsAnsweredWhenTheProxyEndsInTheMiddleOfAChange(TestWireClient wire, CodecFilter codec)
             throws Exception {
         Path zone = folder.resolve(wire.getClass().getSimpleName() + "-end.zone");
-        try (Emulation emulation = new Emulation(codec, 1, DEATH_SEED, new MemberList("ulemiste", zone))) {
+        try (DatabaseEmulator emulation =
+                new DatabaseEmulator(codec, 1, DEATH_SEED, new EmulatedEndpointList("ulemiste", zone))) {
             List<String> log = new CopyOnWriteArrayList<>();
             Process proxy = start(wire, emulation, zone);
             Deployment.read(proxy, log);
@@ -153,7 +157,7 @@
     }
 
     /** The TDS front alone; or the platform's, to which the operator's file's table holds as well. */
-    private Process start(Wire wire, Emulation emulation, Path zone) throws Exception {
+    private Process start(TestWireClient wire, DatabaseEmulator emulation, Path zone) throws Exception {
         Path operator = folder.resolve("operator.toml");
         Files.writeString(
                 operator,
@@ -161,7 +165,7 @@
                         .replace("127.0.0.1:1433", "127.0.0.1:0")
                         .replace("stations.zone", zone.getFileName().toString()));
         Path platform = null;
-        if (wire instanceof PgWire) {
+        if (wire instanceof PgTestClient) {
             platform = Files.writeString(
                     folder.resolve("config.json"),
                     "{\"name\":\"n0\","
@@ -173,7 +177,7 @@
         return Deployment.start(platform, operator);
     }
 
-    private List<Done> load(Wire wire, int port) throws Exception {
+    private List<Done> load(TestWireClient wire, int port) throws Exception {
         ConcurrentLinkedQueue<Done> done = new ConcurrentLinkedQueue<>();
         AtomicLong next = new AtomicLong();
         long start = System.nanoTime();
@@ -204,7 +208,7 @@
         return List.copyOf(done);
     }
 
-    private static Socket connect(Wire wire, int port) throws IOException {
+    private static Socket connect(TestWireClient wire, int port) throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setTcpNoDelay(true);
         socket.setSoTimeout(10_000);
@@ -224,7 +228,7 @@
         return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     }
 
-    private static Done ask(Wire wire, Socket socket, long n) throws IOException {
+    private static Done ask(TestWireClient wire, Socket socket, long n) throws IOException {
         String statement = isWrite(n)
                 ? "/* id=" + n + ",c=reserve,d=3000,k=" + key(n) + ",cluster=" + n % GROUPS
                         + " */ INSERT INTO state (uid, val) VALUES ('7f3a9c21e0b4d655', '1') RETURNING val"
@@ -232,7 +236,7 @@
                         + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
         long askedAt = micros();
         wire.ask(socket, statement);
-        Wire.Answer answer = wire.answer(new DataInputStream(socket.getInputStream()));
+        TestWireClient.Answer answer = wire.answer(new DataInputStream(socket.getInputStream()));
         if (answer.kind().equals("CLOSED")) {
             socket.close();
         }
@@ -242,7 +246,7 @@
         return new Done((int) (n % GROUPS), key(n), askedAt, micros(), answer.kind(), answer.code());
     }
 
-    private static void judge(List<Done> done, EmulationLedger ledger) throws Exception {
+    private static void judge(List<Done> done, ExecutionLog ledger) throws Exception {
         for (int i = 0; i < 100 && isChanging(ledger); i++) {
             Thread.sleep(100);
         }
@@ -267,7 +271,7 @@
                 assertTrue(
                         d.kind().equals("SERVED") ? times == 1 : d.kind().equals("REFUSED") ? times == 0 : times <= 1,
                         times + " times: " + d + said);
-                EmulationLedger.Vacancy met = reachable(d, ledger.vacancies());
+                ExecutionLog.Vacancy met = reachable(d, ledger.vacancies());
                 if (met != null) {
                     reachable[met.cold() ? 1 : 0]++;
                     reached[met.cold() ? 1 : 0] += d.kind().equals("SERVED") ? 1 : 0;
@@ -280,14 +284,14 @@
         assertTrue(reached[0] + reached[1] > 0 || reachable[0] + reachable[1] == 0, said);
     }
 
-    private static boolean isChanging(EmulationLedger ledger) {
+    private static boolean isChanging(ExecutionLog ledger) {
         return ledger.vacancies().stream().anyMatch(v -> v.until() == Long.MAX_VALUE);
     }
 
     /** The change that it met, if its deadline lies past the end and its key's window allows it; or null. */
-    private static EmulationLedger.Vacancy reachable(Done d, List<EmulationLedger.Vacancy> vacancies) {
-        EmulationLedger.Vacancy met = null;
-        for (EmulationLedger.Vacancy v : vacancies) {
+    private static ExecutionLog.Vacancy reachable(Done d, List<ExecutionLog.Vacancy> vacancies) {
+        ExecutionLog.Vacancy met = null;
+        for (ExecutionLog.Vacancy v : vacancies) {
             if (v.group() == d.group() && v.from() < d.askedAt() + DEADLINE && v.until() > d.askedAt()) {
                 boolean inFlight = d.askedAt() < v.from() && d.askedAt() + KEY_TTL < v.until() + MARGIN;
                 if (met != null
--- a/src/test/java/crankwick/app/FaultSoak.java
+++ b/src/test/java/crankwick/app/FaultSoak.java
@@ -39,7 +39,7 @@
     record Outcome(int requests, int attempts, int worstLateMs, List<SoakRecord.Break> breaks, List<String> errors) {}
 
     Outcome run() throws IOException, InterruptedException {
-        Wire wire = seed % 2 == 0 ? new PgWire() : new TdsWire();
+        TestWireClient wire = seed % 2 == 0 ? new PgTestClient() : new TdsTestClient();
         try (Deployment d = new Deployment(wire)) {
             record.watchOwnPauses();
             List<SoakClient> clients = new ArrayList<>();
@@ -79,7 +79,7 @@
     private void printTimeLine(Deployment d, SoakRecord.Break broken) {
         System.out.println("seed " + seed + ": " + broken);
         long asked = record.requests.get(broken.id()).askedAt;
-        for (StandIn.Seen seen : d.ledger.seen) {
+        for (ScriptedDatabase.Seen seen : d.ledger.seen) {
             if (seen.id().equals(broken.id())) {
                 long millis = TimeUnit.NANOSECONDS.toMillis(seen.at() - asked);
                 System.out.println("    " + seen.server() + " +" + millis + " ms");
@@ -94,7 +94,7 @@
         boolean crowded = seed % 4 == 3;
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRAFFIC_MS);
         while (System.nanoTime() < until) {
-            StandIn database = d.databases.get(random.nextInt(d.databases.size()));
+            ScriptedDatabase database = d.databases.get(random.nextInt(d.databases.size()));
             database.word = WORDS[random.nextInt(WORDS.length)];
             database.delayMs = random.nextInt(400);
             database.greetMs = random.nextInt(4) == 0 ? random.nextInt(700) : 0;
--- a/src/test/java/crankwick/app/LineFront.java
+++ b/src/test/java/crankwick/app/LineProtocolCodec.java
@@ -1,9 +1,9 @@
 package crankwick.app;
 
 import crankwick.broker.Reply;
+import crankwick.net.ClientMessage;
+import crankwick.net.ClientReply;
 import crankwick.net.CodecFilter;
-import crankwick.net.FrontMessage;
-import crankwick.net.FrontReply;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
@@ -11,7 +11,7 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
 /** A client's wire of one line a command, which tells a test what the thread that reads has seen by now. */
-final class LineFront extends CodecFilter {
+final class LineProtocolCodec extends CodecFilter {
     static final String CANCEL = "cancel";
     /** Holds up the thread that reads, until {@link #readerReleased} is open. */
     static final String HOLD_READER = "hold";
@@ -43,7 +43,7 @@
             in.position(in.position() + end + 1);
             if (!loggedIn) {
                 loggedIn = true;
-                emit(new FrontMessage.Login(""));
+                emit(new ClientMessage.Login(""));
             }
             String line = new String(all, 0, end, StandardCharsets.US_ASCII);
             if (line.equals(HOLD_READER)) {
@@ -52,9 +52,9 @@
                 return true;
             }
             if (line.equals(CANCEL)) {
-                emit(new FrontMessage.Attention());
+                emit(new ClientMessage.Attention());
             } else {
-                emit(line.isEmpty() ? new FrontMessage.Empty() : new FrontMessage.Query(line));
+                emit(line.isEmpty() ? new ClientMessage.Empty() : new ClientMessage.Query(line));
             }
             read.release();
             return true;
@@ -75,7 +75,7 @@
 
         @Override
         protected Object brokenBy(String fault) {
-            return new FrontMessage.Broken(fault);
+            return new ClientMessage.Broken(fault);
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     private static String text(Object value) {
-        if (!(value instanceof FrontReply.Final answer)) {
+        if (!(value instanceof ClientReply.Final answer)) {
             return value.getClass().getSimpleName();
         }
         return answer.reply() instanceof Reply.Served served
--- a/src/test/java/crankwick/app/OnBothWires.java
+++ b/src/test/java/crankwick/app/OnBothWires.java
@@ -12,12 +12,12 @@
     /** Both wires. */
     @DataProvider
     public Object[][] wires() {
-        return new Object[][] {{new PgWire()}, {new TdsWire()}};
+        return new Object[][] {{new PgTestClient()}, {new TdsTestClient()}};
     }
 
-    final String statement(String cls, int wait, String more) {
-        String key = cls.equals("reserve") ? ",k=5c0f6e1a2b3d" + (ids + 1) : "";
-        return "/* id=" + ++ids + ",c=" + cls + ",d=" + wait + key + ",cluster=0" + more
+    final String statement(String classIndex, int wait, String more) {
+        String key = classIndex.equals("reserve") ? ",k=5c0f6e1a2b3d" + (ids + 1) : "";
+        return "/* id=" + ++ids + ",c=" + classIndex + ",d=" + wait + key + ",cluster=0" + more
                 + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
     }
 
@@ -25,7 +25,7 @@
         return Integer.toString(ids);
     }
 
-    final void served(Wire.Answer answer, String server) {
+    final void served(TestWireClient.Answer answer, String server) {
         assertEquals(answer.value(), server + ":" + id(), answer.toString());
     }
 
--- a/src/test/java/crankwick/app/OpenCommandsIT.java
+++ b/src/test/java/crankwick/app/OpenCommandsIT.java
@@ -17,7 +17,7 @@
     /** Guards against keeping all answers of a client that is slow to take them: 18 MB here. */
     @Test
     public void readsWhoseAnswersThereIsNoRoomForAreRefused() throws Exception {
-        try (Deployment d = new Deployment(new PgWire())) {
+        try (Deployment d = new Deployment(new PgTestClient())) {
             d.receiveBuffer = SMALL_RECEIVE_BUFFER;
             Deployment.Client client = d.client();
             d.databases.forEach(database -> database.padding = VALUE_BYTES);
@@ -28,7 +28,7 @@
             int first = Integer.parseInt(id()) - READS + 1;
             int served = 0;
             for (int i = 0; i < READS; i++) {
-                Wire.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.answer();
                 boolean value = answer.kind().equals("SERVED") && answer.value().endsWith(":" + (first + i));
                 assertTrue(value || answer.kind().equals("REFUSED"), "answer " + i + ": " + answer.kind());
                 served += value ? 1 : 0;
@@ -44,7 +44,7 @@
     /** Guards against handing over answers faster than the client takes them: these would take over 100 MB. */
     @Test
     public void answersBehindOneThatWaitsTakeNoMoreMemoryThanThereIs() throws Exception {
-        try (Deployment d = new Deployment(new PgWire())) {
+        try (Deployment d = new Deployment(new PgTestClient())) {
             d.receiveBuffer = SMALL_RECEIVE_BUFFER;
             Deployment.Client client = d.client();
             d.primary().word = "SILENT";
--- a/src/test/java/crankwick/app/HeldFront.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -1,21 +1,21 @@
 package crankwick.app;
 
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Settings;
-import crankwick.RouterApi.Standing;
-import crankwick.TestSettings;
 import crankwick.broker.Broker;
 import crankwick.broker.Contract;
 import crankwick.discovery.Discovery;
-import crankwick.net.ClientFront;
+import crankwick.net.ClientListener;
 import crankwick.net.Clock;
 import crankwick.net.DatabasePool;
 import crankwick.net.EffectRunner;
 import crankwick.net.EventLoop;
 import crankwick.net.Transport;
 import crankwick.pg.PgDatabaseCodec;
+import crankwick.routing.TestSettings;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -32,40 +32,41 @@
  * A front with one primary behind it, in this process. A test holds the loop while bytes arrive, so that the
  * order in which the loop and the thread that reads come upon them is the test's own.
  */
-final class HeldFront implements AutoCloseable {
+final class PausableProxyFixture implements AutoCloseable {
     static final long MS = 1_000;
     static final long KEY_TTL = 1_000 * MS;
     private static final long CONNECT_TIMEOUT = 9_000 * MS;
     private static final long IDLE_LIMIT = 60_000 * MS;
     private static final int MAX_LINKS = 100;
 
-    final StandIn.Ledger ledger = new StandIn.Ledger();
-    final StandIn database;
-    final LineFront wire = new LineFront();
+    final ScriptedDatabase.Ledger ledger = new ScriptedDatabase.Ledger();
+    final ScriptedDatabase database;
+    final LineProtocolCodec wire = new LineProtocolCodec();
     final Clock clock = new Clock();
     final EventLoop loop = new EventLoop("held");
     final Broker broker;
-    final ClientFront front;
+    final ClientListener front;
     private final Transport transport = new Transport();
     private final List<Hold> holds = new ArrayList<>();
 
-    HeldFront(int maxSessions) throws Exception {
+    PausableProxyFixture(int maxSessions) throws Exception {
         this(maxSessions, CONNECT_TIMEOUT);
     }
 
-    HeldFront(int maxSessions, long connectTimeout) throws Exception {
-        Settings settings = TestSettings.keyedWrite(KEY_TTL, 6_000 * MS, connectTimeout, true);
+    PausableProxyFixture(int maxSessions, long connectTimeout) throws Exception {
+        RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 6_000 * MS, connectTimeout, true);
         broker = new Broker(settings, 1, Map.of("", Contract.UNLIMITED), null);
         EffectRunner runner = new EffectRunner(broker, loop, clock);
-        front = new ClientFront(runner, settings, List.of("write"), ""::equals, maxSessions);
+        front = new ClientListener(runner, settings, List.of("write"), ""::equals, maxSessions);
         runner.attach(
                 front,
                 new DatabasePool(runner, transport, new PgDatabaseCodec(), connectTimeout, IDLE_LIMIT, MAX_LINKS));
-        database = new StandIn("primary", "read-write", new PgWire(), ledger);
+        database = new ScriptedDatabase("primary", "read-write", new PgTestClient(), ledger);
         var address = new InetSocketAddress("127.0.0.1", database.listener.getLocalPort());
-        Member member = new Member("primary", 0, 0, Role.PRIMARY, Standing.LIVE, 0);
+        Endpoint member = new Endpoint("primary", 0, 0, Role.PRIMARY, EndpointStatus.LIVE, 0);
         loop.execute(() -> {
-            runner.listed(new Discovery.News(ListKind.FULL, List.of(new Discovery.Host(member, address))));
+            runner.listed(new Discovery.ListUpdate(
+                    EndpointUpdateKind.FULL, List.of(new Discovery.DiscoveredEndpoint(member, address))));
             front.ready();
         });
         front.listen(transport, new InetSocketAddress("127.0.0.1", 0), wire);
--- a/src/test/java/crankwick/app/PgWire.java
+++ b/src/test/java/crankwick/app/PgTestClient.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** PostgreSQL's protocol, written for the tests alone so that it does not share the program's mistakes. */
-final class PgWire implements Wire {
+final class PgTestClient implements TestWireClient {
     private static final Map<String, String> CODES = Map.of("MISS", "72000", "FULL", "53300", "ERROR", "XX000");
 
     private static byte[] message(char type, String text) {
--- a/src/test/java/crankwick/app/RulesIT.java
+++ b/src/test/java/crankwick/app/RulesIT.java
@@ -11,11 +11,11 @@
 /** The rules on sockets before databases of all habits, the same checks on both wires. */
 public class RulesIT extends OnBothWires {
     @Test(dataProvider = "wires")
-    public void readsGoToReplicasAndWritesToThePrimary(Wire wire) throws Exception {
+    public void readsGoToReplicasAndWritesToThePrimary(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             for (int i = 0; i < 10; i++) {
-                Wire.Answer read = client.ask(statement("map-view", 1000, ""));
+                TestWireClient.Answer read = client.ask(statement("map-view", 1000, ""));
                 assertEquals(read.kind(), "SERVED", read.toString());
                 assertTrue(read.value().matches("s-[bc]:" + id()), read.value());
                 assertEquals(client.ask(statement("reserve", 3000, "")).value(), "s-a:" + id());
@@ -33,7 +33,7 @@
 
     /** Guards against answers lost in the first second, when the program still warms up under load. */
     @Test(dataProvider = "wires")
-    public void firstBurstAfterTheStartIsAnsweredInItsTime(Wire wire) throws Exception {
+    public void firstBurstAfterTheStartIsAnsweredInItsTime(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire)) {
             List<Deployment.Client> clients = new ArrayList<>();
             long start = System.nanoTime();
@@ -53,7 +53,7 @@
 
     /** Guards against a new connection for each request that comes right behind an answer. */
     @Test(dataProvider = "wires")
-    public void oneRequestAfterAnotherWaitsForTheConnectionToRest(Wire wire) throws Exception {
+    public void oneRequestAfterAnotherWaitsForTheConnectionToRest(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             for (int i = 0; i < 40; i++) {
@@ -67,12 +67,12 @@
 
     /** Guards against a connection lost with each answer past its deadline, and against two answers. */
     @Test(dataProvider = "wires")
-    public void answerPastItsDeadlineLeavesTheConnectionForTheNext(Wire wire) throws Exception {
+    public void answerPastItsDeadlineLeavesTheConnectionForTheNext(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.delayMs = 300);
             for (int i = 0; i < 5; i++) {
-                Wire.Answer answer = client.ask(statement("map-view", 200, ""));
+                TestWireClient.Answer answer = client.ask(statement("map-view", 200, ""));
                 assertTrue(answer.kind().matches("FAILED|REFUSED"), answer.toString());
                 Thread.sleep(400);
             }
@@ -87,7 +87,7 @@
 
     /** Guards against a miss that is taken for an answer, and against both replicas being asked at once. */
     @Test(dataProvider = "wires")
-    public void missedReadGoesToAnotherReplica(Wire wire) throws Exception {
+    public void missedReadGoesToAnotherReplica(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.replicas().get(0).word = "MISS";
@@ -100,13 +100,13 @@
 
     /** Guards against noise, a cut value or another's value being served, and against its sender hanging. */
     @Test(dataProvider = "wires")
-    public void spoiltAnswerIsAFailedAttemptAndNeverServed(Wire wire) throws Exception {
+    public void spoiltAnswerIsAFailedAttemptAndNeverServed(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.word = "SPOILT");
-            int ways = wire.spoilt(new Wire.Verdict("", "", "", 0)).length;
+            int ways = wire.spoilt(new TestWireClient.Verdict("", "", "", 0)).length;
             for (int i = 0; i < 200 && d.ledger.at("s-a").size() < 3 * ways; i++) {
-                Wire.Answer answer = client.ask(statement(i % 4 == 0 ? "map-view" : "reserve", 3000, ""));
+                TestWireClient.Answer answer = client.ask(statement(i % 4 == 0 ? "map-view" : "reserve", 3000, ""));
                 assertTrue(answer.value() == null || answer.value().endsWith(":" + id()), answer.toString());
             }
             assertTrue(d.ledger.at("s-a").size() >= 3 * ways, d.ledger.seen.toString());
@@ -119,7 +119,7 @@
      * out: a copy that a busy machine held up until after the connection's rest.
      */
     @Test(dataProvider = "wires")
-    public void copyBehindAnAnswerServesNobody(Wire wire) throws Exception {
+    public void copyBehindAnAnswerServesNobody(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client();
                 Deployment.Client other = d.client()) {
@@ -130,7 +130,12 @@
                 ownOrLateCopy(d, other.ask(statement("reserve", 3000, "")), id());
                 ownOrLateCopy(d, client.answer(), first);
             }
-            assertEquals(d.ledger.seen.stream().map(StandIn.Seen::id).distinct().count(), 80);
+            assertEquals(
+                    d.ledger.seen.stream()
+                            .map(ScriptedDatabase.Seen::id)
+                            .distinct()
+                            .count(),
+                    80);
             if (d.ledger.lateCopies.isEmpty()) {
                 assertEquals(d.ledger.seen.size(), 80);
             }
@@ -138,7 +143,7 @@
         }
     }
 
-    private static void ownOrLateCopy(Deployment d, Wire.Answer answer, String id) throws Exception {
+    private static void ownOrLateCopy(Deployment d, TestWireClient.Answer answer, String id) throws Exception {
         if (!String.valueOf(answer.value()).endsWith(":" + id)) {
             Thread.sleep(100);
             assertTrue(d.ledger.lateCopies.contains(answer.value()), answer + " for " + id);
@@ -146,7 +151,7 @@
     }
 
     @Test(dataProvider = "wires")
-    public void reportThatCantBeReadSpoilsNoAnswer(Wire wire) throws Exception {
+    public void reportThatCantBeReadSpoilsNoAnswer(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.word = "NO REPORT");
@@ -161,13 +166,13 @@
 
     /** Guards against a keyed write that may have run being repeated after its key has lapsed, or refused. */
     @Test(dataProvider = "wires")
-    public void keyedWriteThatMayHaveRunIsRepeatedWithinItsKeyAndNeverRefused(Wire wire) throws Exception {
+    public void keyedWriteThatMayHaveRunIsRepeatedWithinItsKeyAndNeverRefused(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.primary().word = "BREAK";
-            Wire.Answer answer = client.ask(statement("reserve", 3000, ""));
+            TestWireClient.Answer answer = client.ask(statement("reserve", 3000, ""));
             assertEquals(answer.kind(), "FAILED", answer.toString());
-            List<StandIn.Seen> sent =
+            List<ScriptedDatabase.Seen> sent =
                     d.ledger.seen.stream().filter(s -> s.id().equals(id())).toList();
             long spread = sent.get(sent.size() - 1).at() - sent.get(0).at();
             assertTrue(sent.size() > 1 && sent.size() <= 8, sent.toString());
@@ -178,7 +183,7 @@
 
     /** Guards against a read lost on a silent database, and against a second attempt beside the first. */
     @Test(dataProvider = "wires")
-    public void readOnASilentReplicaIsWithdrawnAndGoesToTheOther(Wire wire) throws Exception {
+    public void readOnASilentReplicaIsWithdrawnAndGoesToTheOther(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.replicas().get(0).word = "SILENT";
@@ -191,13 +196,13 @@
 
     /** Guards against an answer lost, or given twice, where no database ever answers. */
     @Test(dataProvider = "wires")
-    public void everythingSilentEndsInOneAnswerWithinTheDeadline(Wire wire) throws Exception {
+    public void everythingSilentEndsInOneAnswerWithinTheDeadline(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.word = "SILENT");
-            for (String cls : List.of("map-view", "reserve")) {
+            for (String classIndex : List.of("map-view", "reserve")) {
                 long start = System.nanoTime();
-                Wire.Answer answer = client.ask(statement(cls, 600, ""));
+                TestWireClient.Answer answer = client.ask(statement(classIndex, 600, ""));
                 long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
                 assertTrue(answer.kind().matches("REFUSED|FAILED"), answer.toString());
                 assertTrue(millis < 1_500, millis + " ms");
@@ -211,12 +216,12 @@
 
     /** A request that the module gives up on is answered at once, and says when to come again. */
     @Test(dataProvider = "wires")
-    public void givenUpIsRefusedAtOnceWithARetryAfter(Wire wire) throws Exception {
+    public void givenUpIsRefusedAtOnceWithARetryAfter(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             long start = System.nanoTime();
             String elsewhere = statement("map-view", 30_000, "").replace("cluster=0", "cluster=7");
-            Wire.Answer answer = client.ask(elsewhere);
+            TestWireClient.Answer answer = client.ask(elsewhere);
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
             assertEquals(answer.kind(), "REFUSED", answer.toString());
             assertTrue(answer.retryAfter() > 0, answer.toString());
@@ -230,19 +235,19 @@
      * proxy can tell is left out: a reset that a busy machine held up until it may come from the database.
      */
     @Test(dataProvider = "wires")
-    public void resetConnectionsAreNoRestartsOfTheirDatabases(Wire wire) throws Exception {
+    public void resetConnectionsAreNoRestartsOfTheirDatabases(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.resets = true);
             int served = 0;
             for (int i = 0; i < 40; i++) {
-                for (String cls : List.of("reserve", "map-view")) {
-                    served += client.ask(statement(cls, 3000, "")).kind().equals("SERVED") ? 1 : 0;
+                for (String classIndex : List.of("reserve", "map-view")) {
+                    served += client.ask(statement(classIndex, 3000, "")).kind().equals("SERVED") ? 1 : 0;
                 }
                 Thread.sleep(15);
             }
             String counters = d.end();
-            assertTrue(counters.contains("STALE="), counters);
+            assertTrue(counters.contains("STALE_CONNECTION="), counters);
             assertTrue(d.log.stream().noneMatch(line -> line.contains("cold")), d.log.toString());
             if (!counters.contains("RESET=")) {
                 assertEquals(served, 80, counters);
@@ -254,7 +259,7 @@
 
     /** Guards against a request written to a connection that the database is about to end. */
     @Test(dataProvider = "wires")
-    public void idleConnectionsAreEndedBeforeTheDatabaseEndsThem(Wire wire) throws Exception {
+    public void idleConnectionsAreEndedBeforeTheDatabaseEndsThem(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.idleMs = 4_000);
--- a/src/test/java/crankwick/app/StandIn.java
+++ b/src/test/java/crankwick/app/ScriptedDatabase.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A small database: answers as it is told to, and notes what it was sent and when. */
-final class StandIn extends LoopbackServer {
+final class ScriptedDatabase extends LoopbackServer {
     /** What a database was sent: the request's id and when its last byte had come. */
     record Seen(String server, String id, String statement, long at) {}
 
@@ -70,10 +70,10 @@
     /** Connections idle for so long are ended, as databases do. */
     volatile int idleMs;
 
-    private final Wire wire;
+    private final TestWireClient wire;
     private final Ledger ledger;
 
-    StandIn(String name, String mode, Wire wire, Ledger ledger) throws IOException {
+    ScriptedDatabase(String name, String mode, TestWireClient wire, Ledger ledger) throws IOException {
         this.name = name;
         this.mode = mode;
         this.wire = wire;
@@ -150,7 +150,7 @@
         }
     }
 
-    private synchronized List<byte[]> parts(String instead, Wire.Verdict verdict) {
+    private synchronized List<byte[]> parts(String instead, TestWireClient.Verdict verdict) {
         byte[][] spoilt = wire.spoilt(verdict);
         if (instead.equals("SPOILT") && answers++ % 3 == 2) {
             return List.of(spoilt[answers / 3 % spoilt.length]);
@@ -169,13 +169,13 @@
     }
 
     /** One that turns reads away is behind, and says so. */
-    private Wire.Verdict verdict(String answer, String value) {
+    private TestWireClient.Verdict verdict(String answer, String value) {
         long behind = word.equals("MISS") ? 10_000 : 0;
         long position = System.currentTimeMillis() - behind;
         return switch (answer) {
-            case "NO REPORT" -> new Wire.Verdict("VALUE", value, mode, position, "x0=9e99,x1=\1");
-            case "TWICE", "SPOILT", "HALVES" -> new Wire.Verdict("VALUE", value, mode, position);
-            default -> new Wire.Verdict(answer, value, mode, position);
+            case "NO REPORT" -> new TestWireClient.Verdict("VALUE", value, mode, position, "x0=9e99,x1=\1");
+            case "TWICE", "SPOILT", "HALVES" -> new TestWireClient.Verdict("VALUE", value, mode, position);
+            default -> new TestWireClient.Verdict(answer, value, mode, position);
         };
     }
 
