--- a/src/test/java/crankwick/app/SoakClient.java
+++ b/src/test/java/crankwick/app/SoakClient.java
@@ -91,7 +91,7 @@
             return false;
         }
         for (SoakRecord.Request request : asked) {
-            Wire.Answer answer = client.answer();
+            TestWireClient.Answer answer = client.answer();
             if (answer.kind().equals("CLOSED")) {
                 return false;
             }
@@ -118,7 +118,7 @@
 
     private void leave(Deployment.Client client) throws IOException {
         int way = random.nextInt(4);
-        if (way == 0 && deployment.wire instanceof TdsWire tds) {
+        if (way == 0 && deployment.wire instanceof TdsTestClient tds) {
             tds.attention(client.socket);
         } else if (way == 1) {
             client.socket.shutdownOutput();
--- a/src/test/java/crankwick/app/SoakRecord.java
+++ b/src/test/java/crankwick/app/SoakRecord.java
@@ -107,7 +107,7 @@
         stops.add(new Stop(from, to));
     }
 
-    void answered(Request request, Wire.Answer answer) {
+    void answered(Request request, TestWireClient.Answer answer) {
         request.answeredAt = System.nanoTime();
         boolean served = answer.kind().equals("SERVED");
         if (served && !answer.value().endsWith(":" + request.id)) {
@@ -123,13 +123,13 @@
     }
 
     /** Judges all requests, the proxy having been killed at that instant. */
-    List<Break> judge(List<StandIn.Seen> attempts, long killedAt) {
+    List<Break> judge(List<ScriptedDatabase.Seen> attempts, long killedAt) {
         over = true;
         List<Break> all = new ArrayList<>(breaks);
         for (Request request : requests.values()) {
             judgeAnswer(request, killedAt, all);
         }
-        for (StandIn.Seen attempt : attempts) {
+        for (ScriptedDatabase.Seen attempt : attempts) {
             Request request = requests.get(attempt.id());
             if (request != null) {
                 judgeAttempt(request, attempt, all);
@@ -154,7 +154,7 @@
         }
     }
 
-    private void judgeAttempt(Request request, StandIn.Seen attempt, List<Break> all) {
+    private void judgeAttempt(Request request, ScriptedDatabase.Seen attempt, List<Break> all) {
         long after = attempt.at() - request.goneAt;
         if (request.goneAt != 0 && after > LEAVE_TOLERANCE + stoppedIn(request.goneAt, attempt.at())) {
             all.add(new Break(
--- a/src/test/java/crankwick/app/StartIT.java
+++ b/src/test/java/crankwick/app/StartIT.java
@@ -37,11 +37,11 @@
     @Test
     public void listOf1024DatabasesIsCarried() throws Exception {
         System.setProperty("crankwick.jvm", flags());
-        try (Deployment d = new Deployment(new PgWire());
+        try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             d.others = 1_021;
             for (int i = 0; i < 4; i++) {
-                StandIn leaving = d.replicas().get(i % 2);
+                ScriptedDatabase leaving = d.replicas().get(i % 2);
                 d.list(leaving, "draining");
                 String value = client.ask("/* id=" + i + ",c=map-view,d=2000,cluster=0 */ SELECT 1")
                         .value();
@@ -58,7 +58,7 @@
     @Test
     public void startAndFirstRequestLoadNoBootstrapMachinery() throws Exception {
         System.setProperty("crankwick.jvm", flags() + " -Xlog:class+load:stdout");
-        try (Deployment d = new Deployment(new PgWire());
+        try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             String statement = "/* id=1,c=map-view,d=2000,cluster=0 */ SELECT val FROM state";
             assertEquals(client.ask(statement).kind(), "SERVED");
--- a/src/test/java/crankwick/app/TdsWire.java
+++ b/src/test/java/crankwick/app/TdsTestClient.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** TDS, written for the tests alone so that it does not share the program's mistakes. */
-final class TdsWire implements Wire {
+final class TdsTestClient implements TestWireClient {
     private static final Map<String, Integer> NUMBERS = Map.of("MISS", 50072, "FULL", 10928, "ERROR", 8650);
     private static final byte[] PRELOGIN = {1, 0, 6, 0, 1, (byte) 0xFF, 2};
 
--- a/src/test/java/crankwick/app/Wire.java
+++ b/src/test/java/crankwick/app/TestWireClient.java
@@ -5,7 +5,7 @@
 import java.net.Socket;
 
 /** A protocol as the tests speak it: as a client, and as a database. */
-interface Wire {
+interface TestWireClient {
     /** How a request was answered: SERVED, REFUSED, FAILED, CLOSED; the number or code, if there is one. */
     record Answer(String kind, String code, String value, long retryAfter) {
         static final Answer CLOSED = new Answer("CLOSED", "", null, 0);
--- a/src/test/java/crankwick/broker/BrokerDeadlineTest.java
+++ b/src/test/java/crankwick/broker/BrokerDeadlineTest.java
@@ -3,14 +3,14 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Settings;
-import crankwick.RouterApi.Standing;
-import crankwick.TestSettings;
+import crankwick.routing.TestSettings;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingSettings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -31,12 +31,17 @@
     @BeforeMethod
     public void aWriteIsSent() {
         effects.clear();
-        Settings settings = TestSettings.keyedWrite(KEY_TTL, 3_000 * MS, 250 * MS, false);
+        RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 3_000 * MS, 250 * MS, false);
         broker = new Broker(settings, 1, Map.of("", Contract.UNLIMITED), null);
         tell(
                 START,
-                new BrokerEvent.Listed(ListKind.FULL, List.of(new Member("a", 0, 0, Role.PRIMARY, Standing.LIVE, 0))));
-        tell(START, new BrokerEvent.Taken(new Call(REF, "1", "", 0, 0, 9, RouterApi.NONE, PATIENCE, "k", 0)));
+                new BrokerEvent.EndpointsUpdated(
+                        EndpointUpdateKind.FULL,
+                        List.of(new Endpoint("a", 0, 0, Role.PRIMARY, EndpointStatus.LIVE, 0))));
+        tell(
+                START,
+                new BrokerEvent.RequestReceived(
+                        new ClientRequest(REF, "1", "", 0, 0, 9, AbsentValue.NONE, PATIENCE, "k", 0)));
         assertEquals(sends().size(), 1);
     }
 
@@ -44,16 +49,19 @@
         effects.addAll(broker.reduce(event, now));
     }
 
-    private void ended(long now, Result result) {
-        tell(now, new BrokerEvent.Ended(REF, sends().size() - 1, result, MS, Role.UNKNOWN, RouterApi.NONE, null, null));
+    private void ended(long now, AttemptResult result) {
+        tell(
+                now,
+                new BrokerEvent.AttemptEnded(
+                        REF, sends().size() - 1, result, MS, Role.UNKNOWN, AbsentValue.NONE, null, null));
     }
 
-    private List<Effect.Send> sends() {
-        return all(Effect.Send.class);
+    private List<Effect.SendAttempt> sends() {
+        return all(Effect.SendAttempt.class);
     }
 
     private List<Reply> answers() {
-        return all(Effect.Answer.class).stream().map(Effect.Answer::reply).toList();
+        return all(Effect.SendReply.class).stream().map(Effect.SendReply::reply).toList();
     }
 
     private <T> List<T> all(Class<T> kind) {
@@ -63,40 +71,40 @@
     /** The command may be on its way though the broker has not heard so: it is no harmless refusal. */
     @Test
     public void writeThatMayHaveBegunIsNotRefusedAtItsDeadline() {
-        tell(START + PATIENCE, new BrokerEvent.DeadlineDue(REF));
-        assertEquals(all(Effect.Recall.class).size(), 1);
+        tell(START + PATIENCE, new BrokerEvent.DeadlineReached(REF));
+        assertEquals(all(Effect.CancelQueued.class).size(), 1);
         assertEquals(answers(), List.of());
-        tell(START + PATIENCE, new BrokerEvent.DeadlineDue(REF));
-        assertEquals(all(Effect.Withdraw.class).size(), 1);
+        tell(START + PATIENCE, new BrokerEvent.DeadlineReached(REF));
+        assertEquals(all(Effect.CancelAttempt.class).size(), 1);
         assertEquals(answers().size(), 1);
         assertTrue(answers().get(0) instanceof Reply.Failed, answers().toString());
     }
 
     @Test
     public void writeThatHasNotBegunIsRefusedAtItsDeadline() {
-        tell(START + PATIENCE, new BrokerEvent.DeadlineDue(REF));
-        ended(START + PATIENCE, Result.NOT_SENT);
-        tell(START + PATIENCE, new BrokerEvent.DeadlineDue(REF));
+        tell(START + PATIENCE, new BrokerEvent.DeadlineReached(REF));
+        ended(START + PATIENCE, AttemptResult.NOT_SENT);
+        tell(START + PATIENCE, new BrokerEvent.DeadlineReached(REF));
         assertEquals(answers().size(), 1);
-        assertTrue(answers().get(0) instanceof Reply.Refused, answers().toString());
+        assertTrue(answers().get(0) instanceof Reply.Rejected, answers().toString());
     }
 
     @Test
     public void firstAttemptMayBeginUntilItsDeadline() {
-        assertEquals(sends().get(0).beginBy(), START + PATIENCE);
+        assertEquals(sends().get(0).startBefore(), START + PATIENCE);
     }
 
     @Test
     public void repeatMayBeginOnlyWithinItsKeysWindow() {
-        ended(START + 100 * MS, Result.RESET);
+        ended(START + 100 * MS, AttemptResult.RESET);
         assertEquals(sends().size(), 2);
-        assertEquals(sends().get(1).beginBy(), START + KEY_TTL);
+        assertEquals(sends().get(1).startBefore(), START + KEY_TTL);
     }
 
     @Test
     public void repeatOfWhatNeverRanMayBeginUntilItsDeadline() {
-        ended(START + 100 * MS, Result.FULL);
+        ended(START + 100 * MS, AttemptResult.REJECTED_OVERLOADED);
         assertEquals(sends().size(), 2);
-        assertEquals(sends().get(1).beginBy(), START + PATIENCE);
+        assertEquals(sends().get(1).startBefore(), START + PATIENCE);
     }
 }
--- a/src/test/java/crankwick/broker/BrokerChangesTest.java
+++ b/src/test/java/crankwick/broker/BrokerFailoverTest.java
@@ -4,16 +4,16 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Member;
-import crankwick.RouterApi.Report;
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Settings;
-import crankwick.RouterApi.Standing;
-import crankwick.TestSettings;
-import crankwick.handover.HandoverSettings;
+import crankwick.failover.FailoverSettings;
+import crankwick.routing.TestSettings;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
 import org.testng.annotations.Test;
 
 /** Single requests through a change of primaries, in simulated time; one group of a, b and c, led by a. */
-public class BrokerChangesTest {
+public class BrokerFailoverTest {
     private static final long MS = 1_000;
     private static final long KEY_TTL = 2_000 * MS;
 
@@ -31,7 +31,7 @@
 
     private final PriorityQueue<Due> timers =
             new PriorityQueue<>((x, y) -> x.at != y.at ? Long.compare(x.at, y.at) : Long.compare(x.number, y.number));
-    private final List<Effect.Send> sends = new ArrayList<>();
+    private final List<Effect.SendAttempt> sends = new ArrayList<>();
     private final Map<Long, Reply> answers = new HashMap<>();
     private final Map<Long, Long> answeredAt = new HashMap<>();
     private final Map<String, Role> probed = new HashMap<>();
@@ -47,45 +47,46 @@
         probed.clear();
         now = 1_000_000_000;
         refs = 0;
-        Settings settings = TestSettings.keyedWrite(KEY_TTL, 3_000 * MS, 250 * MS, true);
-        broker = new Broker(settings, 3, Map.of("", Contract.UNLIMITED), HandoverSettings.DEFAULT);
-        tell(new BrokerEvent.Listed(
-                ListKind.FULL,
+        RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 3_000 * MS, 250 * MS, true);
+        broker = new Broker(settings, 3, Map.of("", Contract.UNLIMITED), FailoverSettings.DEFAULT);
+        tell(new BrokerEvent.EndpointsUpdated(
+                EndpointUpdateKind.FULL,
                 List.of(
-                        member("a", Role.PRIMARY, Standing.LIVE),
-                        member("b", Role.REPLICA, Standing.LIVE),
-                        member("c", Role.REPLICA, Standing.LIVE))));
+                        member("a", Role.PRIMARY, EndpointStatus.LIVE),
+                        member("b", Role.REPLICA, EndpointStatus.LIVE),
+                        member("c", Role.REPLICA, EndpointStatus.LIVE))));
         report("a", Role.PRIMARY);
     }
 
-    private static Member member(String server, Role role, Standing standing) {
-        return new Member(server, 0, 1, role, standing, 0);
+    private static Endpoint member(String server, Role role, EndpointStatus standing) {
+        return new Endpoint(server, 0, 1, role, standing, 0);
     }
 
     private void tell(BrokerEvent event) {
         for (Effect effect : broker.reduce(event, now)) {
-            if (effect instanceof Effect.Send e) {
+            if (effect instanceof Effect.SendAttempt e) {
                 sends.add(e);
-            } else if (effect instanceof Effect.Answer e) {
-                assertNull(answers.put(e.ref(), e.reply()), "a second answer");
-                answeredAt.put(e.ref(), now);
-            } else if (effect instanceof Effect.Arm e) {
+            } else if (effect instanceof Effect.SendReply e) {
+                assertNull(answers.put(e.requestId(), e.reply()), "a second answer");
+                answeredAt.put(e.requestId(), now);
+            } else if (effect instanceof Effect.ScheduleTimer e) {
                 timers.add(new Due(now + e.delay(), timers.size() + now, e.event()));
-            } else if (effect instanceof Effect.Probe e && probed.containsKey(e.server())) {
+            } else if (effect instanceof Effect.CheckHealth e && probed.containsKey(e.endpointId())) {
                 timers.add(new Due(
                         now + MS,
                         timers.size() + now,
-                        new BrokerEvent.Probed(e.server(), Result.OK, MS, reportOf(probed.get(e.server())))));
+                        new BrokerEvent.HealthCheckEnded(
+                                e.endpointId(), AttemptResult.OK, MS, reportOf(probed.get(e.endpointId())))));
             }
         }
     }
 
-    private Report reportOf(Role role) {
-        return new Report(now, role, 0, 0, Double.NaN);
+    private LoadReport reportOf(Role role) {
+        return new LoadReport(now, role, 0, 0, Double.NaN);
     }
 
     private void report(String server, Role role) {
-        tell(new BrokerEvent.Probed(server, Result.OK, MS, reportOf(role)));
+        tell(new BrokerEvent.HealthCheckEnded(server, AttemptResult.OK, MS, reportOf(role)));
     }
 
     private void advance(long span) {
@@ -100,23 +101,33 @@
 
     private long write(String key, long patience) {
         long ref = ++refs;
-        tell(new BrokerEvent.Taken(new Call(ref, Long.toString(ref), "", 0, 1, 9, RouterApi.NONE, patience, key, 100)));
+        tell(new BrokerEvent.RequestReceived(
+                new ClientRequest(ref, Long.toString(ref), "", 0, 1, 9, AbsentValue.NONE, patience, key, 100)));
         return ref;
     }
 
-    private void ends(long ref, Result result, Role role) {
-        Effect.Send last =
-                sends.stream().filter(s -> s.ref() == ref).reduce((x, y) -> y).orElseThrow();
-        tell(new BrokerEvent.Ended(
-                ref, last.attempt(), result, MS, role, role == Role.UNKNOWN ? RouterApi.NONE : now, null, new byte[1]));
+    private void ends(long ref, AttemptResult result, Role role) {
+        Effect.SendAttempt last = sends.stream()
+                .filter(s -> s.requestId() == ref)
+                .reduce((x, y) -> y)
+                .orElseThrow();
+        tell(new BrokerEvent.AttemptEnded(
+                ref,
+                last.attempt(),
+                result,
+                MS,
+                role,
+                role == Role.UNKNOWN ? AbsentValue.NONE : now,
+                null,
+                new byte[1]));
     }
 
     private long sent(long ref) {
-        return sends.stream().filter(s -> s.ref() == ref).count();
+        return sends.stream().filter(s -> s.requestId() == ref).count();
     }
 
     private Object answer(long ref) {
-        return answers.get(ref) instanceof Reply.Refused r
+        return answers.get(ref) instanceof Reply.Rejected r
                 ? r.reason()
                 : answers.get(ref) instanceof Reply.Failed f ? f.reason() : answers.get(ref);
     }
@@ -124,7 +135,7 @@
     /** a refuses connections from now on. */
     private void loseA() {
         long first = write("first", 3_000 * MS);
-        ends(first, Result.UNREACHABLE, Role.UNKNOWN);
+        ends(first, AttemptResult.UNREACHABLE, Role.UNKNOWN);
         advance(MS);
     }
 
@@ -133,7 +144,7 @@
         loseA();
         long hopeless = write("k", 1_000 * MS);
         assertEquals(answer(hopeless), Reply.Reason.NO_PRIMARY);
-        assertTrue(((Reply.Refused) answers.get(hopeless)).retryAfter() > 0);
+        assertTrue(((Reply.Rejected) answers.get(hopeless)).retryAfter() > 0);
         assertEquals(sent(hopeless), 0);
         assertEquals(broker.handover().held(), 0);
     }
@@ -153,19 +164,20 @@
         assertEquals(broker.handover().leadership(1).leader(), "b");
         int most = 0;
         for (int i = 0; i < 200 && answers.size() < 21; i++) {
-            List<Effect.Send> out =
-                    sends.stream().filter(s -> !answers.containsKey(s.ref())).toList();
+            List<Effect.SendAttempt> out = sends.stream()
+                    .filter(s -> !answers.containsKey(s.requestId()))
+                    .toList();
             most = Math.max(most, out.size());
             out.stream()
-                    .filter(s -> held.contains(s.ref()))
+                    .filter(s -> held.contains(s.requestId()))
                     .findFirst()
-                    .ifPresent(s -> ends(s.ref(), Result.OK, Role.PRIMARY));
+                    .ifPresent(s -> ends(s.requestId(), AttemptResult.OK, Role.PRIMARY));
             advance(5 * MS);
         }
         assertTrue(
                 held.stream().allMatch(ref -> sent(ref) == 1 && answers.get(ref) instanceof Reply.Served),
                 answers.toString());
-        assertTrue(sends.stream().filter(s -> held.contains(s.ref())).allMatch(s -> s.server()
+        assertTrue(sends.stream().filter(s -> held.contains(s.requestId())).allMatch(s -> s.endpointId()
                 .equals("b")));
     }
 
@@ -173,9 +185,9 @@
     public void aKeyWhoseWindowEndsWhileItWaitsIsFailedAtOnceAndNotSentAgain() {
         long doubtful = write("k", 3_000 * MS);
         advance(50 * MS);
-        ends(doubtful, Result.RESET, Role.UNKNOWN);
+        ends(doubtful, AttemptResult.RESET, Role.UNKNOWN);
         assertEquals(sent(doubtful), 2, "a break alone is no change");
-        ends(doubtful, Result.UNREACHABLE, Role.UNKNOWN);
+        ends(doubtful, AttemptResult.UNREACHABLE, Role.UNKNOWN);
         advance(500 * MS);
         int before = sends.size();
         advance(3_000 * MS);
@@ -183,16 +195,16 @@
         assertTrue(answeredAt.get(doubtful) < 1_000_000_000 + KEY_TTL, "not at its deadline");
         report("b", Role.PRIMARY);
         advance(100 * MS);
-        assertTrue(sends.subList(before, sends.size()).stream().noneMatch(s -> s.ref() == doubtful));
+        assertTrue(sends.subList(before, sends.size()).stream().noneMatch(s -> s.requestId() == doubtful));
     }
 
     @Test
     public void aClientsOwnRetryOfAKeyInDoubtIsKnown() {
         long first = write("k", 3_000 * MS);
         advance(MS);
-        tell(new BrokerEvent.Written(first, 0));
+        tell(new BrokerEvent.AttemptWritten(first, 0));
         advance(2_500 * MS);
-        tell(new BrokerEvent.Left(first, LeaveCause.CLOSED));
+        tell(new BrokerEvent.RequestAbandoned(first, AbandonReason.CLOSED));
         long retry = write("k", 3_000 * MS);
         assertEquals(answer(retry), Reply.Reason.KEY_IN_DOUBT, "the window began with the first sending");
         assertEquals(sent(retry), 0);
@@ -207,9 +219,9 @@
     @Test
     public void aRetryOfAKeyInDoubtIsNeverRefusedAsHarmless() {
         long first = write("k", 3_000 * MS);
-        tell(new BrokerEvent.Written(first, 0));
+        tell(new BrokerEvent.AttemptWritten(first, 0));
         advance(100 * MS);
-        tell(new BrokerEvent.Left(first, LeaveCause.CLOSED));
+        tell(new BrokerEvent.RequestAbandoned(first, AbandonReason.CLOSED));
         loseA();
         long hopeless = write("k", 1_000 * MS);
         assertEquals(answer(hopeless), Reply.Reason.KEY_IN_DOUBT);
@@ -221,13 +233,13 @@
     @Test
     public void theRoutersRefusalOfAKeyInDoubtIsAFailure() {
         long first = write("k", 3_000 * MS);
-        tell(new BrokerEvent.Written(first, 0));
+        tell(new BrokerEvent.AttemptWritten(first, 0));
         advance(50 * MS);
-        tell(new BrokerEvent.Left(first, LeaveCause.CLOSED));
+        tell(new BrokerEvent.RequestAbandoned(first, AbandonReason.CLOSED));
         long retry = write("k", 200 * MS);
-        ends(retry, Result.FULL, Role.UNKNOWN);
+        ends(retry, AttemptResult.REJECTED_OVERLOADED, Role.UNKNOWN);
         for (int i = 0; i < 8 && !answers.containsKey(retry); i++) {
-            ends(retry, Result.FULL, Role.UNKNOWN);
+            ends(retry, AttemptResult.REJECTED_OVERLOADED, Role.UNKNOWN);
         }
         advance(300 * MS);
         assertTrue(answers.get(retry) instanceof Reply.Failed, answers.toString());
@@ -238,31 +250,33 @@
     public void theAnswerThatComesAfterTheWithdrawalIsNoAnswer() {
         long write = write("k", 3_000 * MS);
         assertEquals(sent(write), 1);
-        tell(new BrokerEvent.Written(write, 0));
+        tell(new BrokerEvent.AttemptWritten(write, 0));
         advance(300 * MS);
-        tell(new BrokerEvent.Probed("a", Result.TIMEOUT, 250 * MS, null));
+        tell(new BrokerEvent.HealthCheckEnded("a", AttemptResult.TIMEOUT, 250 * MS, null));
         advance(260 * MS);
-        tell(new BrokerEvent.Probed("a", Result.TIMEOUT, 250 * MS, null));
+        tell(new BrokerEvent.HealthCheckEnded("a", AttemptResult.TIMEOUT, 250 * MS, null));
         probed.put("b", Role.PRIMARY);
         report("b", Role.PRIMARY);
         advance(100 * MS);
         assertEquals(sent(write), 2, "sent again within its window");
-        assertEquals(sends.get(sends.size() - 1).server(), "b");
-        tell(new BrokerEvent.Ended(write, 0, Result.OK, MS, Role.PRIMARY, now, null, new byte[1]));
+        assertEquals(sends.get(sends.size() - 1).endpointId(), "b");
+        tell(new BrokerEvent.AttemptEnded(write, 0, AttemptResult.OK, MS, Role.PRIMARY, now, null, new byte[1]));
         assertNull(answers.get(write));
-        ends(write, Result.OK, Role.PRIMARY);
+        ends(write, AttemptResult.OK, Role.PRIMARY);
         assertTrue(answers.get(write) instanceof Reply.Served);
     }
 
     @Test
     public void aLateListEntryNamesNobody() {
-        tell(new BrokerEvent.Listed(ListKind.CHANGES, List.of(member("a", Role.PRIMARY, Standing.DRAINING))));
+        tell(new BrokerEvent.EndpointsUpdated(
+                EndpointUpdateKind.INCREMENTAL, List.of(member("a", Role.PRIMARY, EndpointStatus.DRAINING))));
         advance(10 * MS);
         report("b", Role.PRIMARY);
-        tell(new BrokerEvent.Listed(ListKind.CHANGES, List.of(member("a", Role.PRIMARY, Standing.LIVE))));
+        tell(new BrokerEvent.EndpointsUpdated(
+                EndpointUpdateKind.INCREMENTAL, List.of(member("a", Role.PRIMARY, EndpointStatus.LIVE))));
         long write = write("k", 3_000 * MS);
         advance(50 * MS);
-        assertEquals(sends.get(sends.size() - 1).server(), "b");
+        assertEquals(sends.get(sends.size() - 1).endpointId(), "b");
         assertEquals(sent(write), 1);
     }
 
@@ -274,7 +288,7 @@
         int before = broker.handover().held();
         long held = write("k", 3_000 * MS);
         assertEquals(broker.handover().held(), before + 1);
-        tell(new BrokerEvent.Left(held, LeaveCause.CLOSED));
+        tell(new BrokerEvent.RequestAbandoned(held, AbandonReason.CLOSED));
         assertEquals(broker.handover().held(), before);
         assertNull(answers.get(held));
     }
--- a/src/test/java/crankwick/broker/RequestHistoryTest.java
+++ b/src/test/java/crankwick/broker/RequestHistoryTest.java
@@ -5,14 +5,15 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import crankwick.RouterApi;
-import crankwick.RouterApi.Result;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
 import org.testng.annotations.Test;
 
 /** What the log says of a request, and how often. */
 public class RequestHistoryTest {
     private static final long MS = 1_000;
-    private static final Call CALL = new Call(1, "a1", "", 3, 0, 0, RouterApi.NONE, 5_000 * MS, "k1", 9);
+    private static final ClientRequest CALL =
+            new ClientRequest(1, "a1", "", 3, 0, 0, AbsentValue.NONE, 5_000 * MS, "k1", 9);
 
     private static RequestHistory sentOnce() {
         RequestHistory history = new RequestHistory(CALL, 10 * MS);
@@ -24,8 +25,8 @@
     @Test
     public void eachTransitionIsToldInMillisecondsSinceTheRequestWasTaken() {
         RequestHistory history = sentOnce();
-        history.left(LeaveCause.CLOSED, 107 * MS);
-        history.ended(Result.RESET, 439 * MS);
+        history.left(AbandonReason.CLOSED, 107 * MS);
+        history.ended(AttemptResult.RESET, 439 * MS);
         history.sent("s-2", 440 * MS);
         assertEquals(
                 history.line(),
@@ -35,14 +36,14 @@
     @Test
     public void whatTheFirstAttemptServesIsNotNotable() {
         RequestHistory history = sentOnce();
-        history.ended(Result.OK, 20 * MS);
+        history.ended(AttemptResult.OK, 20 * MS);
         history.answered(new Reply.Served(null, true, 0), 20 * MS);
         assertFalse(history.isNotable());
     }
 
     @Test
     public void linesAreLimitedAndThoseLeftOutAreCounted() {
-        HistoryLog log = new HistoryLog();
+        RequestHistoryLog log = new RequestHistoryLog();
         RequestHistory failed = sentOnce();
         failed.answered(new Reply.Failed(Reply.Reason.NO_OUTCOME), 30 * MS);
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/crankwick/discovery/ListingTest.java
+++ b/src/test/java/crankwick/discovery/EndpointListTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 
-import crankwick.RouterApi.ListKind;
-import crankwick.RouterApi.Standing;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,8 +14,8 @@
 import org.testng.annotations.Test;
 
 /** What is made of lists that can't be read whole, that repeat or contradict themselves. */
-public class ListingTest {
-    private static final ListCodec CODEC = new ListCodec(List.of("a"));
+public class EndpointListTest {
+    private static final EndpointListCodec CODEC = new EndpointListCodec(List.of("a"));
 
     private static String entry(String id, String state) {
         return "{\"id\":\"" + id + "\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"cell\":0,\"state\":\"" + state
@@ -26,35 +26,35 @@
         return entry.replace("\"cell\":0", "\"cell\":\"?\"");
     }
 
-    private static List<Listing.Entry> entries(String... entries) {
+    private static List<EndpointList.Entry> entries(String... entries) {
         return CODEC.parse("{\"version\":1,\"full\":true,\"servers\":[" + String.join(",", entries) + "]}")
                 .entries();
     }
 
-    private static Map<String, Standing> standings(Discovery.News news) {
-        Map<String, Standing> standings = new TreeMap<>();
-        news.members().forEach(m -> standings.put(m.server(), m.standing()));
+    private static Map<String, EndpointStatus> standings(Discovery.ListUpdate news) {
+        Map<String, EndpointStatus> standings = new TreeMap<>();
+        news.endpoints().forEach(m -> standings.put(m.id(), m.status()));
         return standings;
     }
 
-    private static Listing listing() {
-        return new Listing(
-                Listing.known(entries(entry("s", "up"), entry("t", "up"))).hosts());
+    private static EndpointList listing() {
+        return new EndpointList(
+                EndpointList.known(entries(entry("s", "up"), entry("t", "up"))).discovered());
     }
 
     /** Guards against a drain passed over because something else of its entry can't be read. */
     @Test
     public void drainCountsThoughTheRestOfItsEntryCantBeRead() {
-        Listing listing = listing();
-        List<Listing.Entry> entries = entries(unreadable(entry("s", "draining")), entry("t", "up"));
-        assertNotNull(Listing.fault(entries));
-        Discovery.News news = listing.take(true, entries);
-        assertEquals(standings(news), Map.of("s", Standing.DRAINING, "t", Standing.LIVE));
-        assertEquals(news.kind(), ListKind.FULL, "all are named");
+        EndpointList listing = listing();
+        List<EndpointList.Entry> entries = entries(unreadable(entry("s", "draining")), entry("t", "up"));
+        assertNotNull(EndpointList.fault(entries));
+        Discovery.ListUpdate news = listing.take(true, entries);
+        assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.LIVE));
+        assertEquals(news.kind(), EndpointUpdateKind.FULL, "all are named");
         news = listing.take(false, entries(unreadable(entry("s", "up"))));
-        assertEquals(standings(news), Map.of("s", Standing.DRAINING), "half an entry undoes no drain");
+        assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING), "half an entry undoes no drain");
         news = listing.take(false, entries(unreadable(entry("s", "odd")), unreadable(entry("t", "removed"))));
-        assertEquals(standings(news), Map.of("s", Standing.DRAINING, "t", Standing.GONE));
+        assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.REMOVED));
         assertEquals(
                 standings(listing.take(false, entries(unreadable(entry("t", "up"))))),
                 Map.of(),
@@ -64,18 +64,18 @@
     /** Guards against databases that have left staying for good because of somebody else's entry. */
     @Test
     public void wholeListRemovesWhoIsNotNamedUnlessAnEntrysNameCantBeRead() {
-        assertEquals(listing().take(true, entries(unreadable(entry("s", "up")))).kind(), ListKind.FULL);
-        Discovery.News news = listing().take(true, entries(entry("s", "up"), "{\"state\":\"up\"}", "7"));
-        assertEquals(news.kind(), ListKind.CHANGES);
-        assertEquals(standings(news), Map.of("s", Standing.LIVE));
-        assertEquals(listing().take(true, entries()).kind(), ListKind.FULL, "an empty list is a list");
+        assertEquals(listing().take(true, entries(unreadable(entry("s", "up")))).kind(), EndpointUpdateKind.FULL);
+        Discovery.ListUpdate news = listing().take(true, entries(entry("s", "up"), "{\"state\":\"up\"}", "7"));
+        assertEquals(news.kind(), EndpointUpdateKind.INCREMENTAL);
+        assertEquals(standings(news), Map.of("s", EndpointStatus.LIVE));
+        assertEquals(listing().take(true, entries()).kind(), EndpointUpdateKind.FULL, "an empty list is a list");
     }
 
     @Test
     public void databaseNamedTwiceDrainsIfEitherSaysSo() {
         for (String[] states : new String[][] {{"up", "draining"}, {"draining", "up"}}) {
-            Discovery.News news = listing().take(true, entries(entry("s", states[0]), entry("s", states[1])));
-            assertEquals(standings(news), Map.of("s", Standing.DRAINING));
+            Discovery.ListUpdate news = listing().take(true, entries(entry("s", states[0]), entry("s", states[1])));
+            assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING));
         }
     }
 
@@ -84,7 +84,7 @@
     public void noDrainIsUndoneByWhatCantBeRead() {
         SplittableRandom random = new SplittableRandom(7);
         for (int round = 0; round < 200; round++) {
-            Listing listing = listing();
+            EndpointList listing = listing();
             boolean draining = false;
             for (int i = 0; i < 20; i++) {
                 String state = List.of("up", "draining", "odd").get(random.nextInt(3));
@@ -92,17 +92,17 @@
                 List<String> entries = new ArrayList<>(List.of(entry("t", "up")));
                 entries.add(random.nextInt(2), readable ? entry("s", state) : unreadable(entry("s", state)));
                 draining = state.equals("draining") || draining && !(readable && state.equals("up"));
-                Discovery.News news = listing.take(random.nextBoolean(), entries(entries.toArray(String[]::new)));
-                assertEquals(standings(news).get("s"), draining ? Standing.DRAINING : Standing.LIVE);
+                Discovery.ListUpdate news = listing.take(random.nextBoolean(), entries(entries.toArray(String[]::new)));
+                assertEquals(standings(news).get("s"), draining ? EndpointStatus.DRAINING : EndpointStatus.LIVE);
             }
         }
     }
 
     @Test
     public void configurationHoldsOnlyWhatCanBeRead() {
-        assertNull(Listing.fault(entries(entry("s", "up"))));
+        assertNull(EndpointList.fault(entries(entry("s", "up"))));
         try {
-            Listing.known(entries(entry("s", "up"), unreadable(entry("t", "up"))));
+            EndpointList.known(entries(entry("s", "up"), unreadable(entry("t", "up"))));
         } catch (IllegalArgumentException e) {
             assertEquals(e.getMessage().substring(0, 12), "servers[1]: ");
             return;
--- a/src/test/java/crankwick/discovery/WatchKeeperTest.java
+++ b/src/test/java/crankwick/discovery/EndpointWatchTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import crankwick.lab.DrainLab;
+import crankwick.simulation.DrainSimulation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,11 +14,11 @@
 import org.testng.annotations.Test;
 
 /** When discovery is called and what is taken of its answers; fleets before it, in simulated time by seed. */
-public class WatchKeeperTest {
+public class EndpointWatchTest {
     private static final long SECOND = 1_000_000;
 
-    private static DrainLab lab(int proxies, long seed, long lateness) {
-        return new DrainLab(new DrainLab.Options(proxies, 20, seed, 1_900_000, lateness));
+    private static DrainSimulation lab(int proxies, long seed, long lateness) {
+        return new DrainSimulation(new DrainSimulation.Options(proxies, 20, seed, 1_900_000, lateness));
     }
 
     @DataProvider
@@ -28,7 +28,7 @@
 
     @Test(dataProvider = "fleets")
     public void everyDrainIsHeardInTime(int proxies, int seed) {
-        DrainLab lab = lab(proxies, seed, 0);
+        DrainSimulation lab = lab(proxies, seed, 0);
         Map<String, Object> figures = lab.run();
         assertNull(lab.violation(), lab.violation());
         assertEquals(figures.get("heard_late"), 0L);
@@ -40,14 +40,14 @@
     /** The check finds a defect: timers that are 5 s late let drains pass. */
     @Test
     public void lateTimersAreFound() {
-        DrainLab lab = lab(120, 5, 5 * SECOND);
+        DrainSimulation lab = lab(120, 5, 5 * SECOND);
         assertTrue((long) lab.run().get("heard_late") > 0);
         assertNotNull(lab.violation());
     }
 
     /** Notes what is asked for, and the calls that are ended as negative numbers. */
-    private static WatchKeeper keeper(List<Long> asked) {
-        return new WatchKeeper(41, 1, new WatchKeeper.Calls() {
+    private static EndpointWatch keeper(List<Long> asked) {
+        return new EndpointWatch(41, 1, new EndpointWatch.Calls() {
             @Override
             public void open(long call, long from, long hold) {
                 asked.add(from);
@@ -68,13 +68,13 @@
     @Test
     public void olderAnswerIsTakenOnlyWhenTheWholeListSaysSoAgain() {
         List<Long> asked = new ArrayList<>();
-        WatchKeeper keeper = keeper(asked);
+        EndpointWatch keeper = keeper(asked);
         keeper.start(0);
         keeper.due(SECOND);
         assertFalse(keeper.answered(1, 7, true, SECOND));
         keeper.due(2 * SECOND);
         assertTrue(keeper.answered(2, 7, true, 2 * SECOND));
-        assertEquals(asked, List.of(41L, WatchKeeper.WHOLE, 7L));
+        assertEquals(asked, List.of(41L, EndpointWatch.WHOLE, 7L));
         assertTrue(keeper.answered(3, 9, false, 3 * SECOND), "what can be read of it counts");
         assertTrue(keeper.dueAt() > 3 * SECOND);
         keeper.due(4 * SECOND);
@@ -82,25 +82,25 @@
         assertTrue(keeper.answered(4, 7, true, 4 * SECOND));
         assertEquals(asked.size(), 4, "nothing newer before its time: no call at once");
         keeper.moved(5 * SECOND);
-        assertEquals(asked.get(4), Long.valueOf(WatchKeeper.WHOLE));
+        assertEquals(asked.get(4), Long.valueOf(EndpointWatch.WHOLE));
     }
 
     /** Guards against an entry that stays unreadable having every proxy open watch after watch. */
     @Test
     public void whatStaysUnreadableIsAskedForAgainAFewTimesForEachVersion() {
         List<Long> asked = new ArrayList<>();
-        WatchKeeper keeper = keeper(asked);
+        EndpointWatch keeper = keeper(asked);
         keeper.moved(0);
         long now = 0;
         for (long version : new long[] {50, 50, 50, 50, 51, 51, 52}) {
             // Past every pause, before an open call is given up.
-            now += WatchKeeper.PAUSE_MOST + (WatchKeeper.CONNECT - WatchKeeper.PAUSE_MOST) / 2;
+            now += EndpointWatch.PAUSE_MOST + (EndpointWatch.CONNECT - EndpointWatch.PAUSE_MOST) / 2;
             keeper.due(now);
             assertTrue(keeper.answered(asked.size(), version, false, now), "what can be read counts");
         }
-        long whole = WatchKeeper.WHOLE;
+        long whole = EndpointWatch.WHOLE;
         assertEquals(asked, List.of(whole, whole, whole, whole, 50L, 50L, 50L), "on from 50 at the fourth");
-        now += WatchKeeper.PAUSE_MOST;
+        now += EndpointWatch.PAUSE_MOST;
         keeper.due(now);
         assertTrue(keeper.answered(8, 52, true, now), "and a readable one has the trouble end");
         assertEquals(keeper.troubleSince(), Long.MAX_VALUE);
--- a/src/test/java/crankwick/handover/KeyRegistryBenchmark.java
+++ b/src/test/java/crankwick/failover/KeyRegistryBenchmark.java
@@ -1,4 +1,4 @@
-package crankwick.handover;
+package crankwick.failover;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,9 +36,9 @@
     private int entries;
 
     private KeyRegistry registry;
-    private HoldQueue queue;
+    private RequestBuffer queue;
     private final Map<String, long[]> plainKeys = new HashMap<>();
-    private final List<HoldQueue.Held> plainQueue = new ArrayList<>();
+    private final List<RequestBuffer.BufferedRequest> plainQueue = new ArrayList<>();
     private long now = 1;
     private long sweptAt;
     private long next;
@@ -47,8 +47,8 @@
     @Setup
     public void fill() {
         registry = new KeyRegistry(entries * 2, 17);
-        queue = new HoldQueue(
-                new HandoverSettings(
+        queue = new RequestBuffer(
+                new FailoverSettings(
                         entries + 1, entries + 1, Long.MAX_VALUE, Long.MAX_VALUE, 0.05, 4, 0, 1, 0, 1, 1, 1, 1),
                 new HashMap<>());
         for (int i = 0; i < entries; i++) {
@@ -70,8 +70,8 @@
         return Long.toHexString(next++ * 0x9E3779B97F4A7C15L);
     }
 
-    private HoldQueue.Held held(long ref) {
-        return new HoldQueue.Held(ref, "finder", ref % 7, ref * 0x9E3779B97F4A7C15L >>> 24, 200);
+    private RequestBuffer.BufferedRequest held(long ref) {
+        return new RequestBuffer.BufferedRequest(ref, "finder", ref % 7, ref * 0x9E3779B97F4A7C15L >>> 24, 200);
     }
 
     /** One key's life: asked for, sent, ended in doubt. */
@@ -100,7 +100,7 @@
     /** The first leaves, another comes. */
     @Benchmark
     public long heldInQueue() {
-        HoldQueue.Held first = queue.first();
+        RequestBuffer.BufferedRequest first = queue.first();
         queue.remove(first.ref());
         queue.add(held(next++));
         return first.ref();
--- a/src/test/java/crankwick/handover/KeyRegistryTest.java
+++ b/src/test/java/crankwick/failover/KeyRegistryTest.java
@@ -1,4 +1,4 @@
-package crankwick.handover;
+package crankwick.failover;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/src/test/java/crankwick/model/GroupModelTest.java
+++ b/src/test/java/crankwick/model/GroupModelTest.java
@@ -4,9 +4,9 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
 import crankwick.model.ModelEvent.Trouble.Kind;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.Role;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
@@ -59,8 +59,8 @@
         advance(100 * MS);
         tell(new ModelEvent.Query(2, 0, "k", 0));
         advance(100 * MS);
-        assertEquals(answer(1).result(), Result.OK);
-        assertEquals(answer(2).result(), Result.OK);
+        assertEquals(answer(1).result(), AttemptResult.OK);
+        assertEquals(answer(2).result(), AttemptResult.OK);
         assertEquals(count(ModelEffect.Applied.class), 1);
         advance(2_000 * MS);
         tell(new ModelEvent.Query(3, 0, "k", 0));
@@ -98,7 +98,7 @@
         advance(1_100 * MS);
         tell(new ModelEvent.Probe(3, 0));
         assertEquals(answer(3).role(), Role.REPLICA);
-        assertEquals(answer(1).result(), Result.ERROR, "what it held may have run");
+        assertEquals(answer(1).result(), AttemptResult.ERROR, "what it held may have run");
         assertEquals(count(ModelEffect.Applied.class), 0);
     }
 
@@ -110,7 +110,7 @@
         tell(new ModelEvent.Trouble(Kind.RETURN, 0));
         advance(100 * MS);
         assertEquals(group.leader(), 0);
-        assertEquals(answer(1).result(), Result.OK);
+        assertEquals(answer(1).result(), AttemptResult.OK);
         advance(10_000 * MS);
         assertEquals(group.leader(), 0);
     }
@@ -120,13 +120,13 @@
         tell(new ModelEvent.Query(1, 0, "k", 0));
         tell(new ModelEvent.Trouble(Kind.DRAIN, 0));
         tell(new ModelEvent.Query(2, 0, "l", 0));
-        assertEquals(answer(2).result(), Result.FULL);
+        assertEquals(answer(2).result(), AttemptResult.REJECTED_OVERLOADED);
         advance(1_000 * MS);
-        assertEquals(answer(1).result(), Result.OK);
+        assertEquals(answer(1).result(), AttemptResult.OK);
         assertTrue(group.leader() > 0);
         tell(new ModelEvent.Query(3, group.leader(), "k", 0));
         advance(100 * MS);
-        assertEquals(answer(3).result(), Result.OK);
+        assertEquals(answer(3).result(), AttemptResult.OK);
         assertEquals(count(ModelEffect.Applied.class), 1, "the key's memory went over with the log");
     }
 
@@ -150,8 +150,8 @@
         tell(new ModelEvent.Query(1, 1, null, now));
         tell(new ModelEvent.Query(2, 2, null, now + 500 * MS));
         advance(60 * MS);
-        assertEquals(answer(1).result(), Result.OK);
+        assertEquals(answer(1).result(), AttemptResult.OK);
         assertTrue(answer(1).position() >= T + 10 * MS);
-        assertEquals(answer(2).result(), Result.MISS);
+        assertEquals(answer(2).result(), AttemptResult.INELIGIBLE_REPLICA);
     }
 }
--- a/src/test/java/crankwick/EstimatesTest.java
+++ b/src/test/java/crankwick/routing/EstimatesTest.java
@@ -1,4 +1,4 @@
-package crankwick;
+package crankwick.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -39,18 +39,18 @@
 
     @Test
     void patienceOfFirstTriesIsKnownByThreeThatAgree() {
-        FirstTryPatience patience = new FirstTryPatience(10);
+        DeadlineEstimator patience = new DeadlineEstimator(10);
         for (int i = 0; i < 3; i++) {
-            assertTrue(patience.isFirstTry(500 + i));
+            assertTrue(patience.isFirstAttempt(500 + i));
         }
-        assertTrue(patience.isFirstTry(505));
-        assertFalse(patience.isFirstTry(300));
-        assertTrue(patience.isFirstTry(500));
+        assertTrue(patience.isFirstAttempt(505));
+        assertFalse(patience.isFirstAttempt(300));
+        assertTrue(patience.isFirstAttempt(500));
     }
 
     @Test
     void forgottenSessionsMustSeeTheNewestPositionForgotten() {
-        SessionPositions positions = new SessionPositions();
+        SessionTokenStore positions = new SessionTokenStore();
         assertEquals(Long.MIN_VALUE, positions.get(1));
         positions.remember(1, 70);
         positions.remember(1, 50);
--- a/src/test/java/crankwick/PrimaryTest.java
+++ b/src/test/java/crankwick/routing/PrimaryTest.java
@@ -1,4 +1,4 @@
-package crankwick;
+package crankwick.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,24 +6,28 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
-import crankwick.RouterApi.Standing;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdate;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.TimerFired;
 import org.junit.jupiter.api.Test;
 
 /** Locating the primary, and carrying writes across its changes. */
 class PrimaryTest {
-    private static final long MS = Rig.MS;
+    private static final long MS = RouterTestHarness.MS;
 
     @Test
     void unknownPrimaryIsSoughtOnceInTurnThenTheWriteIsHeld() {
-        Rig rig = new Rig(new Rig.Build().settings());
+        RouterTestHarness rig = new RouterTestHarness(new RouterTestHarness.Build().settings());
         rig.members("a", "b", "c");
-        long write = rig.request(Rig.WRITE);
-        long second = rig.request(Rig.WRITE);
+        long write = rig.request(RouterTestHarness.WRITE);
+        long second = rig.request(RouterTestHarness.WRITE);
         for (int i = 1; i <= 3; i++) {
             assertEquals(i, rig.attempts(write));
-            rig.outcome(write, Result.MISS, Role.REPLICA, RouterApi.NONE);
+            rig.outcome(write, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
         }
         assertEquals(3, rig.attempts(write));
         assertNull(rig.sentTo(second), "one write seeks, the others hold");
@@ -35,18 +39,18 @@
 
     @Test
     void newestClaimWinsAndAnOldReportDoesNotUndoIt() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long old = rig.now;
         rig.report("r1", Role.PRIMARY, rig.now + 400 * MS);
         rig.report("p", Role.PRIMARY, old);
-        assertEquals("r1", rig.sentTo(rig.request(Rig.WRITE)));
+        assertEquals("r1", rig.sentTo(rig.request(RouterTestHarness.WRITE)));
     }
 
     @Test
     void writesWaitWhileThePrimaryIsDownAndAreRefusedInTime() {
-        Rig rig = Rig.known(new Rig.Build().settings());
-        long write = rig.request(Rig.WRITE);
-        rig.outcome(write, Result.UNREACHABLE, Role.UNKNOWN, RouterApi.NONE);
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
+        long write = rig.request(RouterTestHarness.WRITE);
+        rig.outcome(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         rig.advance(1_500 * MS);
         assertFalse(rig.refused(write), "still time for a new primary");
         rig.advance(500 * MS);
@@ -56,39 +60,39 @@
     @Test
     void primaryThatOnlyFailedIsTriedAgain() {
         // Incident if9b0f8: an ejected primary was never sent anything again.
-        Rig.Build build = new Rig.Build();
-        Rig rig = Rig.known(build.settings());
+        RouterTestHarness.Build build = new RouterTestHarness.Build();
+        RouterTestHarness rig = RouterTestHarness.known(build.settings());
         for (int i = 0; i < 6; i++) {
-            long write = rig.request(Rig.WRITE);
+            long write = rig.request(RouterTestHarness.WRITE);
             if (rig.sentTo(write) != null) {
-                rig.outcome(write, Result.ERROR, Role.PRIMARY, RouterApi.NONE);
+                rig.outcome(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
         assertTrue(rig.actions.contains("log p ejected: fails"));
-        long held = rig.request(Rig.WRITE);
+        long held = rig.request(RouterTestHarness.WRITE);
         assertNull(rig.sentTo(held));
         rig.answers("p", Role.PRIMARY);
         rig.advance(1_000 * MS);
         assertEquals("p", rig.sentTo(held));
-        rig.outcome(held, Result.OK, Role.PRIMARY, rig.now);
+        rig.outcome(held, AttemptResult.OK, Role.PRIMARY, rig.now);
         assertTrue(rig.actions.contains("log p readmitted"));
     }
 
     /** Else a member that was ejected before its restart and then took over got trials only, for seconds. */
     @Test
     void aFreshProcessIsNotLeftOutForWhatAnEarlierOneFailedAt() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         for (int i = 0; i < 6; i++) {
-            long write = rig.request(Rig.WRITE);
+            long write = rig.request(RouterTestHarness.WRITE);
             if (rig.sentTo(write) != null) {
-                rig.outcome(write, Result.ERROR, Role.PRIMARY, RouterApi.NONE);
+                rig.outcome(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
         assertTrue(rig.actions.contains("log p ejected: fails"));
         rig.advance(MS);
-        rig.change("p", Standing.LIVE, rig.now - 20_000 * MS);
+        rig.change("p", EndpointStatus.LIVE, rig.now - 20_000 * MS);
         rig.report("p", Role.PRIMARY, rig.now);
-        long write = rig.request(Rig.WRITE);
+        long write = rig.request(RouterTestHarness.WRITE);
         rig.advance(100 * MS);
         assertEquals("p", rig.sentTo(write));
         assertFalse(rig.actions.contains("log p readmitted"), "no trial was needed");
@@ -96,9 +100,9 @@
 
     @Test
     void drainingPrimaryGetsNoWriteAndItsSuccessorDoes() {
-        Rig rig = Rig.known(new Rig.Build().settings());
-        rig.change("p", Standing.DRAINING, 0);
-        long write = rig.request(Rig.WRITE);
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
+        rig.change("p", EndpointStatus.DRAINING, 0);
+        long write = rig.request(RouterTestHarness.WRITE);
         assertNull(rig.sentTo(write));
         rig.report("r2", Role.PRIMARY, rig.now + MS);
         assertEquals("r2", rig.sentTo(write));
@@ -106,23 +110,23 @@
 
     @Test
     void readsMayUseThePrimaryOnlyWhenEveryReplicaIsLost() {
-        Rig rig = Rig.known(new Rig.Build().settings());
-        rig.change("r1", Standing.GONE, 0);
-        assertEquals("r2", rig.sentTo(rig.request(Rig.ANY)));
-        rig.change("r2", Standing.GONE, 0);
-        assertEquals("p", rig.sentTo(rig.request(Rig.ANY)));
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
+        rig.change("r1", EndpointStatus.REMOVED, 0);
+        assertEquals("r2", rig.sentTo(rig.request(RouterTestHarness.ANY)));
+        rig.change("r2", EndpointStatus.REMOVED, 0);
+        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.ANY)));
     }
 
     @Test
     void discoveryIsWatchedAndRenewedAfterAFailure() {
-        Rig.Build build = new Rig.Build();
+        RouterTestHarness.Build build = new RouterTestHarness.Build();
         build.asksDiscovery = true;
-        Rig rig = Rig.known(build.settings());
+        RouterTestHarness rig = RouterTestHarness.known(build.settings());
         assertTrue(rig.actions.contains("arm 0"));
-        rig.tell(new RouterApi.Timer(0));
+        rig.tell(new TimerFired(0));
         assertEquals(1, rig.actions.stream().filter("watch"::equals).count());
         rig.actions.clear();
-        rig.tell(new RouterApi.Membership(RouterApi.ListKind.UNAVAILABLE, java.util.List.of()));
+        rig.tell(new EndpointUpdate(EndpointUpdateKind.UNAVAILABLE, java.util.List.of()));
         assertTrue(rig.actions.contains("arm 0"));
     }
 
@@ -133,12 +137,12 @@
     }
 
     private static java.util.List<String> play() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         for (int i = 0; i < 200; i++) {
-            long id = rig.request(i % 5, i % 7, RouterApi.NONE);
+            long id = rig.request(i % 5, i % 7, AbsentValue.NONE);
             rig.advance(10 * MS);
             if (rig.sentTo(id) != null) {
-                rig.outcome(id, i % 11 == 0 ? Result.ERROR : Result.OK, Role.UNKNOWN, RouterApi.NONE);
+                rig.outcome(id, i % 11 == 0 ? AttemptResult.ERROR : AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
             }
         }
         return rig.actions;
--- a/src/test/java/crankwick/ReadPathTest.java
+++ b/src/test/java/crankwick/routing/ReadPathTest.java
@@ -1,4 +1,4 @@
-package crankwick;
+package crankwick.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,118 +6,123 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import crankwick.RouterApi.Result;
-import crankwick.RouterApi.Role;
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.HealthCheckResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.StaleReadPolicy;
+import crankwick.routing.api.TimerFired;
 import org.junit.jupiter.api.Test;
 
 /** Each kind of read, each source of its token, and the wait. */
 class ReadPathTest {
-    private static final long MS = Rig.MS;
+    private static final long MS = RouterTestHarness.MS;
 
     @Test
     void sessionReadGoesToReplicaKnownPastItsToken() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long commit = rig.now + MS;
         rig.write(5, commit);
         rig.report("r2", Role.REPLICA, commit);
-        long read = rig.request(Rig.OWN, 5, RouterApi.NONE);
+        long read = rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
         assertEquals("r2", rig.sentTo(read));
     }
 
     @Test
     void positionOneMicrosecondShortDoesNotServe() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long commit = rig.now + MS;
         rig.write(5, commit);
         rig.report("r2", Role.REPLICA, commit - 1);
-        assertNull(rig.sentTo(rig.request(Rig.OWN, 5, RouterApi.NONE)));
+        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE)));
     }
 
     @Test
     void positionNeverFalls() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long commit = rig.now + MS;
         rig.write(5, commit);
         rig.report("r1", Role.REPLICA, commit);
         rig.report("r1", Role.REPLICA, commit - 500 * MS);
-        assertEquals("r1", rig.sentTo(rig.request(Rig.OWN, 5, RouterApi.NONE)));
+        assertEquals("r1", rig.sentTo(rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE)));
     }
 
     @Test
     void otherSessionsOweNothing() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         rig.write(5, rig.now);
-        assertNotEquals("p", rig.sentTo(rig.request(Rig.OWN, 6, RouterApi.NONE)));
+        assertNotEquals("p", rig.sentTo(rig.request(RouterTestHarness.OWN, 6, AbsentValue.NONE)));
     }
 
     @Test
     void carriedTokenIsNowMinusItsAge() {
-        Rig.Build build = new Rig.Build();
+        RouterTestHarness.Build build = new RouterTestHarness.Build();
         build.tokensCarried = true;
-        Rig rig = Rig.known(build.settings());
+        RouterTestHarness rig = RouterTestHarness.known(build.settings());
         long known = rig.now + 10 * MS;
         rig.report("r1", Role.REPLICA, known);
         rig.now = known + 40 * MS;
-        assertNull(rig.sentTo(rig.request(Rig.OWN, 5, 40 * MS - 1)));
-        assertEquals("r1", rig.sentTo(rig.request(Rig.OWN, 6, 40 * MS)));
-        assertTrue(rig.sentTo(rig.request(Rig.OWN, 7, 0)).startsWith("r"));
+        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 5, 40 * MS - 1)));
+        assertEquals("r1", rig.sentTo(rig.request(RouterTestHarness.OWN, 6, 40 * MS)));
+        assertTrue(rig.sentTo(rig.request(RouterTestHarness.OWN, 7, 0)).startsWith("r"));
     }
 
     @Test
     void boundedReadMovesItsTokenWithTime() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long level = rig.now;
         rig.report("r1", Role.REPLICA, level);
         rig.report("r2", Role.REPLICA, level);
         rig.now = level + 1_500 * MS;
         rig.report("r1", Role.REPLICA, level);
-        assertTrue(rig.sentTo(rig.request(Rig.VIEW)).startsWith("r"));
+        assertTrue(rig.sentTo(rig.request(RouterTestHarness.VIEW)).startsWith("r"));
         rig.now++;
-        assertNull(rig.sentTo(rig.request(Rig.VIEW)));
+        assertNull(rig.sentTo(rig.request(RouterTestHarness.VIEW)));
     }
 
     @Test
     void answersThatCarryPositionsServeAsReports() {
-        Rig.Build build = new Rig.Build();
+        RouterTestHarness.Build build = new RouterTestHarness.Build();
         build.answersCarryPosition = true;
-        Rig rig = Rig.known(build.settings());
+        RouterTestHarness rig = RouterTestHarness.known(build.settings());
         long commit = rig.now + MS;
         rig.write(5, commit);
-        long any = rig.request(Rig.ANY);
+        long any = rig.request(RouterTestHarness.ANY);
         String server = rig.sentTo(any);
-        rig.outcome(any, Result.OK, Role.REPLICA, commit + 1);
-        assertEquals(server, rig.sentTo(rig.request(Rig.OWN, 5, RouterApi.NONE)));
+        rig.outcome(any, AttemptResult.OK, Role.REPLICA, commit + 1);
+        assertEquals(server, rig.sentTo(rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE)));
     }
 
     @Test
     void unheardReplicaServesOnlyWhatOwesNothing() {
-        Rig rig = new Rig(new Rig.Build().settings());
+        RouterTestHarness rig = new RouterTestHarness(new RouterTestHarness.Build().settings());
         rig.members("r1", "r2");
-        assertNull(rig.sentTo(rig.request(Rig.VIEW)));
-        assertTrue(rig.sentTo(rig.request(Rig.ANY)).startsWith("r"));
+        assertNull(rig.sentTo(rig.request(RouterTestHarness.VIEW)));
+        assertTrue(rig.sentTo(rig.request(RouterTestHarness.ANY)).startsWith("r"));
     }
 
     @Test
     void freshReadsAndWritesGoToThePrimaryAlone() {
-        Rig rig = Rig.known(new Rig.Build().settings());
-        assertEquals("p", rig.sentTo(rig.request(Rig.FRESH)));
-        assertEquals("p", rig.sentTo(rig.request(Rig.WRITE)));
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
+        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.FRESH)));
+        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.WRITE)));
     }
 
     @Test
     void laggedReadNeverSpillsAndIsRefusedWithRetryAfter() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         rig.write(5, rig.now + 10_000 * MS);
-        long read = rig.request(Rig.OWN, 5, RouterApi.NONE);
+        long read = rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
         for (int i = 0; i < 30; i++) {
             rig.advance(25 * MS);
             for (String server : new String[] {"p", "r1", "r2"}) {
                 if (rig.actions.removeIf(a -> a.equals("probe " + server))) {
-                    rig.tell(new RouterApi.ProbeResult(
+                    rig.tell(new HealthCheckResult(
                             server,
-                            Result.OK,
+                            AttemptResult.OK,
                             MS,
-                            new RouterApi.Report(rig.now, server.equals("p") ? Role.PRIMARY : Role.REPLICA, 0, 0, 0)));
+                            new LoadReport(rig.now, server.equals("p") ? Role.PRIMARY : Role.REPLICA, 0, 0, 0)));
                 }
             }
         }
@@ -128,10 +133,10 @@
 
     @Test
     void waiterIsReleasedByTheNextPoll() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long commit = rig.now + MS;
         rig.write(5, commit);
-        long read = rig.request(Rig.OWN, 5, RouterApi.NONE);
+        long read = rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
         assertNull(rig.sentTo(read));
         rig.report("r1", Role.REPLICA, commit + 1);
         assertEquals("r1", rig.sentTo(read));
@@ -139,10 +144,10 @@
 
     @Test
     void onePollServesAllWaiters() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         rig.write(5, rig.now);
         for (int i = 0; i < 20; i++) {
-            rig.request(Rig.OWN, 5, RouterApi.NONE);
+            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
         }
         rig.actions.removeIf(a -> a.startsWith("probe"));
         rig.advance(70 * MS);
@@ -153,18 +158,18 @@
     @Test
     void memberFarBehindIsNotPolledQuickly() {
         // Incident ia21758: with every replica seconds behind, quick polls cost a tenth of the service.
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         rig.write(5, rig.now + 5_000 * MS);
         rig.actions.clear();
-        rig.tell(new RouterApi.Timer(2));
+        rig.tell(new TimerFired(2));
         int polls = 0;
         for (int i = 0; i < 16; i++) {
-            rig.request(Rig.OWN, 5, RouterApi.NONE);
+            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
             rig.advance(25 * MS);
             if (rig.actions.removeIf(a -> a.equals("probe r1"))) {
                 polls++;
-                rig.tell(new RouterApi.ProbeResult(
-                        "r1", Result.OK, MS, new RouterApi.Report(rig.now - 5_000 * MS, Role.REPLICA, 0, 0, 0)));
+                rig.tell(new HealthCheckResult(
+                        "r1", AttemptResult.OK, MS, new LoadReport(rig.now - 5_000 * MS, Role.REPLICA, 0, 0, 0)));
             }
         }
         assertTrue(polls >= 1 && polls <= 3, "polls in 400 ms: " + polls);
@@ -172,11 +177,11 @@
 
     @Test
     void releaseDoesNotStampede() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long commit = rig.now + MS;
         rig.write(5, commit);
         for (int i = 0; i < 40; i++) {
-            rig.request(Rig.OWN, 5, RouterApi.NONE);
+            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
         }
         long before = rig.actions.stream()
                 .filter(a -> a.endsWith(" r1") && a.startsWith("send"))
@@ -190,19 +195,19 @@
 
     @Test
     void checkingReplicaCloseBehindMayBeTriedAndMissRejoinsTheWait() {
-        Rig.Build build = new Rig.Build();
-        build.whenBehind = RouterApi.WhenBehind.REFUSE;
+        RouterTestHarness.Build build = new RouterTestHarness.Build();
+        build.whenBehind = StaleReadPolicy.REJECT;
         build.tokensCarried = true;
-        Rig rig = Rig.known(build.settings());
+        RouterTestHarness rig = RouterTestHarness.known(build.settings());
         rig.now += 100 * MS;
         rig.report("r1", Role.REPLICA, rig.now - 20 * MS);
         rig.report("r2", Role.REPLICA, rig.now - 20 * MS);
-        long read = rig.request(Rig.OWN, 5, MS);
+        long read = rig.request(RouterTestHarness.OWN, 5, MS);
         String first = rig.sentTo(read);
         assertTrue(first.startsWith("r"));
-        rig.outcome(read, Result.MISS, Role.REPLICA, RouterApi.NONE);
+        rig.outcome(read, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
         assertFalse(rig.refused(read));
-        rig.outcome(read, Result.MISS, Role.REPLICA, RouterApi.NONE);
+        rig.outcome(read, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
         int tries = rig.attempts(read);
         assertFalse(rig.failed(read));
         rig.report("r1", Role.REPLICA, rig.now);
@@ -212,14 +217,14 @@
 
     @Test
     void evictedSessionsFoldIntoTheFloorAndNeverReadStale() {
-        Rig rig = Rig.known(new Rig.Build().settings());
+        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
         long first = rig.now + MS;
         rig.write(0, first);
         for (int session = 1; session <= 20_000; session++) {
             rig.write(session, first - 1_000 * MS);
             rig.actions.clear();
         }
-        assertNull(rig.sentTo(rig.request(Rig.OWN, 0, RouterApi.NONE)));
-        assertNull(rig.sentTo(rig.request(Rig.OWN, 99_999, RouterApi.NONE)), "unknown session");
+        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 0, AbsentValue.NONE)));
+        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 99_999, AbsentValue.NONE)), "unknown session");
     }
 }
--- a/src/test/java/crankwick/lab/HandoverLabTest.java
+++ b/src/test/java/crankwick/simulation/FailoverSimulationTest.java
@@ -1,12 +1,12 @@
-package crankwick.lab;
+package crankwick.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import crankwick.handover.HandoverSettings;
-import crankwick.lab.HandoverLab.Fault;
+import crankwick.failover.FailoverSettings;
+import crankwick.simulation.FailoverSimulation.Fault;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,12 +15,12 @@
 import org.testng.annotations.Test;
 
 /** Changes of primaries by seed: none breaks a rule, and each deliberate defect is found. */
-public class HandoverLabTest {
+public class FailoverSimulationTest {
     private final Map<Boolean, List<Map<String, Object>>> runs = new HashMap<>();
 
-    private static HandoverLab lab(int failovers, long seed, boolean handover, Fault fault) {
-        return new HandoverLab(
-                new HandoverLab.Options(4, failovers, seed, handover ? HandoverSettings.DEFAULT : null, fault));
+    private static FailoverSimulation lab(int failovers, long seed, boolean handover, Fault fault) {
+        return new FailoverSimulation(
+                new FailoverSimulation.Options(4, failovers, seed, handover ? FailoverSettings.DEFAULT : null, fault));
     }
 
     @DataProvider
@@ -30,7 +30,7 @@
 
     @Test(dataProvider = "seeds")
     public void noChangeBreaksARuleAndMostWritesThatCanBeAreServed(int seed) {
-        HandoverLab lab = lab(120, seed, true, Fault.NONE);
+        FailoverSimulation lab = lab(120, seed, true, Fault.NONE);
         Map<String, Object> figures = lab.run();
         assertNull(lab.violation(), lab.violation());
         assertEquals(figures.get("violations"), 0L);
@@ -52,7 +52,7 @@
 
     @Test(dataProvider = "faults")
     public void aDeliberateDefectIsFoundWithinTwoHundredChanges(Fault fault, String found) {
-        HandoverLab lab = lab(200, 1, true, fault);
+        FailoverSimulation lab = lab(200, 1, true, fault);
         Map<String, Object> figures = lab.run();
         assertNotNull(lab.violation());
         assertTrue((long) figures.get(found) > 0, figures.toString());
--- a/src/test/java/crankwick/simhost/JarIT.java
+++ b/src/test/java/crankwick/simulator/JarIT.java
@@ -1,4 +1,4 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/crankwick/simhost/HostTest.java
+++ b/src/test/java/crankwick/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -6,6 +6,7 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
+import crankwick.settings.SettingsCodec;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -15,10 +16,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The codec and the host, on every message of the wire. */
-class HostTest {
+class SimulatorAdapterTest {
     private static String reply(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Host(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -133,7 +134,7 @@
         for (String[] change : new String[][] {
             {"\"unsafe\"", "\"risky\"", "repeat"},
             {"\"session\"", "\"odd\"", "freshness"},
-            {"\"ramp-time-ms\":10000", "\"ramp-time-ms\":-1", "rampTime"}
+            {"\"ramp-time-ms\":10000", "\"ramp-time-ms\":-1", "slowStartDuration"}
         }) {
             String config = WireScript.CONFIG.replace(change[0], change[1]);
             IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> new SettingsCodec(config));
@@ -147,13 +148,13 @@
         ReplyWriter writer = new ReplyWriter(out);
         writer.at(3);
         writer.send(0xff3f2b5f5d3a91c4L, "10.0.0.1:1", 80_250);
-        writer.refuse(1, 250_000);
+        writer.reject(1, 250_000);
         writer.fail(1);
-        writer.probe("10.0.0.1:1");
-        writer.cancel(1, 2);
-        writer.arm(500_000, 77);
-        writer.watch();
-        writer.fetch();
+        writer.checkHealth("10.0.0.1:1");
+        writer.cancelAttempt(1, 2);
+        writer.scheduleTimer(500_000, 77);
+        writer.watchEndpoints();
+        writer.fetchEndpoints();
         writer.log("two servers known");
         writer.flush();
         assertEquals(
--- a/src/test/java/crankwick/simhost/WireScript.java
+++ b/src/test/java/crankwick/simulator/WireScript.java
@@ -1,4 +1,4 @@
-package crankwick.simhost;
+package crankwick.simulator;
 
 /** A transcript of the wire of this project's own making. */
 final class WireScript {
