--- a/src/main/java/crankwick/routing/api/AttemptOutcome.java
+++ b/src/main/java/crankwick/routing/api/AttemptOutcome.java
@@ -1,6 +1,15 @@
 package crankwick.routing.api;
 
-/** The end of an attempt; {@code answered} if the request has had its final answer. */
+/**
+ * The end of an attempt.
+ *
+ * @param attempt the attempt's number within its request, from 0
+ * @param answered whether the request has had its final answer
+ * @param duration from the sending to the end
+ * @param role the role that the endpoint reported, if it did
+ * @param position the log position that it reported, or {@link AbsentValue#NONE}
+ * @param report its load report, or null
+ */
 public record AttemptOutcome(
         long requestId,
         int attempt,
--- a/src/main/java/crankwick/routing/api/DeduplicationScope.java
+++ b/src/main/java/crankwick/routing/api/DeduplicationScope.java
@@ -1,8 +1,11 @@
 package crankwick.routing.api;
 
-/** Which servers discard the repeats of a keyed request. */
+/** Which endpoints recognize the idempotency key of a request that ran before. */
 public enum DeduplicationScope {
+    /** All. */
     FLEET,
+    /** Those in the same zone. */
     ZONE,
+    /** Those of the same group. */
     GROUP
 }
--- a/src/main/java/crankwick/routing/api/EndpointStatus.java
+++ b/src/main/java/crankwick/routing/api/EndpointStatus.java
@@ -1,8 +1,11 @@
 package crankwick.routing.api;
 
-/** A server's standing in the list. */
+/** The status of an endpoint in the list. */
 public enum EndpointStatus {
+    /** Up and taking requests. */
     LIVE,
+    /** About to leave: no new requests. */
     DRAINING,
+    /** No longer in the list. */
     REMOVED
 }
--- a/src/main/java/crankwick/routing/api/EndpointUpdate.java
+++ b/src/main/java/crankwick/routing/api/EndpointUpdate.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** News from the list of servers. */
+/** A change of the endpoint list. */
 public record EndpointUpdate(EndpointUpdateKind kind, List<Endpoint> endpoints) implements RoutingEvent {}
--- a/src/main/java/crankwick/routing/api/LoadReport.java
+++ b/src/main/java/crankwick/routing/api/LoadReport.java
@@ -1,4 +1,12 @@
 package crankwick.routing.api;
 
-/** What a server says of itself, as old as the report; absent figures are NONE or NaN. */
+/**
+ * What an endpoint reports of itself. Absent figures are {@link AbsentValue#NONE} or NaN.
+ *
+ * @param position its log position, in microseconds
+ * @param role its role in its group
+ * @param queueLength requests that wait
+ * @param utilization share of busy cores
+ * @param inFlight requests in work
+ */
 public record LoadReport(long position, Role role, double queueLength, double utilization, double inFlight) {}
--- a/src/main/java/crankwick/routing/api/ResponseStarted.java
+++ b/src/main/java/crankwick/routing/api/ResponseStarted.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** The answer has begun to stream: the attempt belongs to the client. */
+/** The response has begun to stream: the request is out of the router's hands. */
 public record ResponseStarted(long requestId) implements RoutingEvent {}
--- a/src/main/java/crankwick/routing/api/Role.java
+++ b/src/main/java/crankwick/routing/api/Role.java
@@ -1,8 +1,11 @@
 package crankwick.routing.api;
 
-/** A server's place in its group. */
+/** The role of an endpoint in its group. */
 public enum Role {
+    /** Not known. */
     UNKNOWN,
+    /** It takes writes. */
     PRIMARY,
+    /** It applies the primary's log. */
     REPLICA
 }
--- a/src/main/java/crankwick/routing/api/RoutingActions.java
+++ b/src/main/java/crankwick/routing/api/RoutingActions.java
@@ -1,31 +1,31 @@
 package crankwick.routing.api;
 
-/** What a router does; the caller carries it out at once and in order. */
+/** What the router decides; the caller carries each call out at once and in order. */
 public interface RoutingActions {
-    /** Starts an attempt that times out after {@code patience}; NONE: when the client gives up. */
-    void send(long id, String server, long patience);
+    /** Starts an attempt with a timeout; {@link AbsentValue#NONE} for the time that its client has left. */
+    void send(long requestId, String endpointId, long timeout);
 
-    /** Final answer: refused, a further try is harmless. */
-    void reject(long id, long retryAfter);
+    /** Final answer: rejected without effect, to be retried after a time; 0 where that is not said. */
+    void reject(long requestId, long retryAfter);
 
     /** Final answer: failed, its effect unknown. */
-    void fail(long id);
+    void fail(long requestId);
 
-    /** Asks a server for its report. */
-    void checkHealth(String server);
+    /** Asks an endpoint for its load report; a {@link HealthCheckResult} is to follow. */
+    void checkHealth(String endpointId);
 
-    /** Stops waiting for an attempt. */
-    void cancelAttempt(long id, int attempt);
+    /** Cancels an attempt; an {@link AttemptOutcome} is to follow. */
+    void cancelAttempt(long requestId, int attempt);
 
-    /** Asks for a {@link TimerFired} event. */
-    void scheduleTimer(long fromNow, long ref);
+    /** Asks for a {@link TimerFired} event after a delay. */
+    void scheduleTimer(long delay, long timerId);
 
     /** Asks discovery for changes from now on. */
     void watchEndpoints();
 
-    /** Asks discovery for the whole list once. */
+    /** Asks discovery for the complete list once. */
     void fetchEndpoints();
 
-    /** A line for the operators. */
+    /** Writes a line to the log. */
     void log(String line);
 }
--- a/src/main/java/crankwick/routing/api/RoutingSettings.java
+++ b/src/main/java/crankwick/routing/api/RoutingSettings.java
@@ -2,7 +2,18 @@
 
 import java.util.List;
 
-/** Everything a router is told at its start. */
+/**
+ * The settings of a router.
+ *
+ * @param proxyCount proxies that share the endpoints
+ * @param zone this proxy's zone, as a position in the settings
+ * @param pollsDiscovery whether discovery has to be asked for the list; else it pushes
+ * @param responsesCarryPosition whether responses report a log position
+ * @param sessionTokensCarried whether clients say how long ago their session wrote
+ * @param staleReadPolicy what replicas do with reads that they are too far behind for
+ * @param roleVisibility how the list shows roles
+ * @param requestClasses the classes of requests, to which {@link RoutingRequest#classIndex} refers
+ */
 public record RoutingSettings(
         int proxyCount,
         int zone,
@@ -15,7 +26,7 @@
         RoutingLimits limits,
         CostWeights costs,
         List<RequestClass> requestClasses) {
-    /** Checks every field; throws IllegalArgumentException naming the one at fault. */
+    /** Checks each field; throws IllegalArgumentException naming the one at fault. */
     public RoutingSettings {
         require(proxyCount >= 1, "proxyCount");
         require(staleReadPolicy != null, "staleReadPolicy");
@@ -38,21 +49,24 @@
         require(requestClasses != null && !requestClasses.isEmpty(), "requestClasses");
         requestClasses = List.copyOf(requestClasses);
         for (int i = 0; i < requestClasses.size(); i++) {
-            RequestClass c = requestClasses.get(i);
-            require(c.consistency() != null, "requestClasses[" + i + "].consistency");
-            require(c.idempotency() != null, "requestClasses[" + i + "].idempotency");
-            require(c.deduplicationScope() != null, "requestClasses[" + i + "].deduplicationScope");
-            require(c.keyTtl() >= 0, "requestClasses[" + i + "].keyTtl");
-            require(c.stalenessBound() >= 0, "requestClasses[" + i + "].stalenessBound");
-            require(c.latencyObjective() > 0, "requestClasses[" + i + "].latencyObjective");
-            require(c.deadline() > 0, "requestClasses[" + i + "].deadline");
-            require(c.priorityWeight() >= 0, "requestClasses[" + i + "].priorityWeight");
-            require(c.lateWeight() >= 0, "requestClasses[" + i + "].lateWeight");
+            requireUsable(requestClasses.get(i), "requestClasses[" + i + "].");
         }
     }
 
-    private static void require(boolean holds, String field) {
-        if (!holds) {
+    private static void requireUsable(RequestClass requestClass, String path) {
+        require(requestClass.consistency() != null, path + "consistency");
+        require(requestClass.idempotency() != null, path + "idempotency");
+        require(requestClass.deduplicationScope() != null, path + "deduplicationScope");
+        require(requestClass.keyTtl() >= 0, path + "keyTtl");
+        require(requestClass.stalenessBound() >= 0, path + "stalenessBound");
+        require(requestClass.latencyObjective() > 0, path + "latencyObjective");
+        require(requestClass.deadline() > 0, path + "deadline");
+        require(requestClass.priorityWeight() >= 0, path + "priorityWeight");
+        require(requestClass.lateWeight() >= 0, path + "lateWeight");
+    }
+
+    private static void require(boolean condition, String field) {
+        if (!condition) {
             throw new IllegalArgumentException("unusable setting: " + field);
         }
     }
--- a/src/test/java/crankwick/app/ClientListenerIT.java
+++ b/src/test/java/crankwick/app/ClientListenerIT.java
@@ -15,8 +15,8 @@
 
 /** What only one of the fronts has. */
 public class ClientListenerIT {
-    private static String statement(String id, String classIndex) {
-        return "/* id=" + id + ",c=" + classIndex + ",d=2000,k=1,cluster=0 */ SELECT val FROM state";
+    private static String statement(String id, String className) {
+        return "/* id=" + id + ",c=" + className + ",d=2000,k=1,cluster=0 */ SELECT val FROM state";
     }
 
     /** Guards against answers that overtake each other: the write is slow, the read behind it is not. */
--- a/src/test/java/crankwick/app/ClientsIT.java
+++ b/src/test/java/crankwick/app/ClientsIT.java
@@ -177,9 +177,9 @@
     public void nothingIsBegunForAClientThatHasGone(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0")) {
             d.databases.forEach(database -> database.greetMs = 1_000);
-            for (String classIndex : List.of("reserve", "map-view")) {
+            for (String className : List.of("reserve", "map-view")) {
                 try (Deployment.Client leaver = d.client()) {
-                    leaver.send(statement(classIndex, 3000, ""));
+                    leaver.send(statement(className, 3000, ""));
                     Thread.sleep(300);
                 }
             }
--- a/src/test/java/crankwick/app/OnBothWires.java
+++ b/src/test/java/crankwick/app/OnBothWires.java
@@ -15,9 +15,9 @@
         return new Object[][] {{new PgTestClient()}, {new TdsTestClient()}};
     }
 
-    final String statement(String classIndex, int wait, String more) {
-        String key = classIndex.equals("reserve") ? ",k=5c0f6e1a2b3d" + (ids + 1) : "";
-        return "/* id=" + ++ids + ",c=" + classIndex + ",d=" + wait + key + ",cluster=0" + more
+    final String statement(String className, int wait, String more) {
+        String key = className.equals("reserve") ? ",k=5c0f6e1a2b3d" + (ids + 1) : "";
+        return "/* id=" + ++ids + ",c=" + className + ",d=" + wait + key + ",cluster=0" + more
                 + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
     }
 
--- a/src/test/java/crankwick/app/RulesIT.java
+++ b/src/test/java/crankwick/app/RulesIT.java
@@ -200,9 +200,9 @@
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.word = "SILENT");
-            for (String classIndex : List.of("map-view", "reserve")) {
+            for (String className : List.of("map-view", "reserve")) {
                 long start = System.nanoTime();
-                TestWireClient.Answer answer = client.ask(statement(classIndex, 600, ""));
+                TestWireClient.Answer answer = client.ask(statement(className, 600, ""));
                 long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
                 assertTrue(answer.kind().matches("REFUSED|FAILED"), answer.toString());
                 assertTrue(millis < 1_500, millis + " ms");
@@ -241,8 +241,8 @@
             d.databases.forEach(database -> database.resets = true);
             int served = 0;
             for (int i = 0; i < 40; i++) {
-                for (String classIndex : List.of("reserve", "map-view")) {
-                    served += client.ask(statement(classIndex, 3000, "")).kind().equals("SERVED") ? 1 : 0;
+                for (String className : List.of("reserve", "map-view")) {
+                    served += client.ask(statement(className, 3000, "")).kind().equals("SERVED") ? 1 : 0;
                 }
                 Thread.sleep(15);
             }
