--- a/src/main/java/crankwick/app/Main.java
+++ b/src/main/java/crankwick/app/Main.java
@@ -113,7 +113,7 @@
         List<String> zones = file.settings().zoneNames();
         Service service = new Service(
                 wire, file.settings(), System.nanoTime(), file.contracts(), file.sockets(), transport, file.changes());
-        Discovery.ListUpdate known = EndpointList.known(DnsSdZoneFile.parse(file.zone(), zones));
+        Discovery.ListUpdate known = EndpointList.complete(DnsSdZoneFile.parse(file.zone(), zones));
         service.start(
                 file.listen(),
                 file.sockets(),
--- a/src/main/java/crankwick/app/OperatorConfig.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -166,7 +166,7 @@
 
     private static Discovery.ListUpdate databases(DnsSdZoneFile.Zone zone, List<String> zones) {
         try {
-            return EndpointList.known(DnsSdZoneFile.parse(zone, zones));
+            return EndpointList.complete(DnsSdZoneFile.parse(zone, zones));
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
--- a/src/main/java/crankwick/app/PlatformConfig.java
+++ b/src/main/java/crankwick/app/PlatformConfig.java
@@ -37,7 +37,7 @@
             key = "known";
             EndpointListCodec.VersionedList list =
                     new EndpointListCodec(settings.zoneNames()).parse(root.getAsJsonObject(key));
-            Discovery.ListUpdate known = EndpointList.known(list.entries());
+            Discovery.ListUpdate known = EndpointList.complete(list.entries());
             key = "listen";
             InetSocketAddress listen = EndpointListCodec.address(root.get(key).getAsString());
             key = "discovery";
--- a/src/main/java/crankwick/discovery/Discovery.java
+++ b/src/main/java/crankwick/discovery/Discovery.java
@@ -7,19 +7,19 @@
 
 /** Where the list of databases comes from: {@link ListUpdate} on the loop, from the start to the end. */
 public interface Discovery {
-    /** Begins to watch; whatever fails then is asked for again, without being told to. */
+    /** Begins to watch; failures are retried without end. */
     void start();
 
-    /** Reads its configuration again and goes on where that says; an unreadable one changes nothing. */
+    /** Reads its configuration again and continues as that says; an unreadable one changes nothing. */
     void reload();
 
-    /** Stops asking. */
+    /** Stops watching. */
     void close();
 
-    /** A database as the list names it; {@code address} is the one that this proxy reaches it at. */
+    /** An entry of the list, with the address at which this proxy reaches the database. */
     record DiscoveredEndpoint(Endpoint endpoint, InetSocketAddress address) {}
 
-    /** What has been heard: changes, or a whole list. */
+    /** Changes of the list, or a complete list. */
     record ListUpdate(EndpointUpdateKind kind, List<DiscoveredEndpoint> discovered) {
         /** The list without the addresses. */
         public List<Endpoint> endpoints() {
--- /dev/null
+++ b/src/main/java/crankwick/discovery/DiscoveryCall.java
@@ -0,0 +1,128 @@
+package crankwick.discovery;
+
+import crankwick.net.EventLoop;
+import crankwick.net.Transport;
+import java.net.InetSocketAddress;
+import java.net.SocketAddress;
+import java.util.concurrent.Future;
+import org.glassfish.grizzly.Connection;
+import org.glassfish.grizzly.EmptyCompletionHandler;
+import org.glassfish.grizzly.WriteResult;
+import org.glassfish.grizzly.http.HttpClientFilter;
+import org.glassfish.grizzly.http.HttpRequestPacket;
+import org.glassfish.grizzly.http.Protocol;
+
+/** One HTTP call to discovery on a connection of its own, which {@link #end} closes; it lives on the event loop. */
+final class DiscoveryCall extends EmptyCompletionHandler<Connection<SocketAddress>> {
+    private static final String PATH = "/discovery/hosts";
+
+    /** Is notified on the event loop; a call that has ended may still fail. */
+    interface Listener {
+        /** The connection is established. */
+        void onConnected(DiscoveryCall call);
+
+        /** The response is complete; the call has ended. */
+        void onResponse(DiscoveryCall call, String body);
+
+        /** There is no response, for the stated reason. */
+        void onFailure(DiscoveryCall call, String reason);
+    }
+
+    private final long number;
+    private final InetSocketAddress address;
+    private final String query;
+    private final EventLoop loop;
+    private final Listener listener;
+    private final Future<?> connecting;
+    private Connection<SocketAddress> connection;
+    private boolean ended;
+
+    /** Opens the call; {@code query} is null for none. */
+    DiscoveryCall(
+            long number,
+            InetSocketAddress address,
+            String query,
+            Transport transport,
+            EventLoop loop,
+            Listener listener) {
+        this.number = number;
+        this.address = address;
+        this.query = query;
+        this.loop = loop;
+        this.listener = listener;
+        connecting =
+                transport.connect(address, this, Transport.chain(new HttpClientFilter(), new ResponseAssembler(this)));
+    }
+
+    long number() {
+        return number;
+    }
+
+    boolean isConnected() {
+        return connection != null;
+    }
+
+    boolean hasEnded() {
+        return ended;
+    }
+
+    @Override
+    public void completed(Connection<SocketAddress> established) {
+        loop.execute(() -> onConnected(established));
+    }
+
+    @Override
+    public void failed(Throwable cause) {
+        fail("no connection");
+    }
+
+    private void onConnected(Connection<SocketAddress> established) {
+        connection = established;
+        if (ended) {
+            established.terminateSilently();
+            return;
+        }
+        listener.onConnected(this);
+        HttpRequestPacket.Builder request = HttpRequestPacket.builder()
+                .method("GET")
+                .uri(PATH)
+                .protocol(Protocol.HTTP_1_1)
+                .header("Host", address.getHostString() + ':' + address.getPort());
+        if (query != null) {
+            request.query(query);
+        }
+        established.write(request.build(), new RequestWritten());
+    }
+
+    /** Reports a failure; on any thread. */
+    void fail(String reason) {
+        loop.execute(() -> listener.onFailure(this, reason));
+    }
+
+    /** Reports the response; on any thread. */
+    void respond(String body) {
+        loop.execute(() -> {
+            if (!ended) {
+                end();
+                listener.onResponse(this, body);
+            }
+        });
+    }
+
+    /** Closes the connection, which may still be coming up; a response that still comes does not count. */
+    void end() {
+        ended = true;
+        if (connection != null) {
+            connection.terminateSilently();
+        } else {
+            connecting.cancel(true);
+        }
+    }
+
+    private final class RequestWritten extends EmptyCompletionHandler<WriteResult<Object, SocketAddress>> {
+        @Override
+        public void failed(Throwable cause) {
+            fail("the request can't be written");
+        }
+    }
+}
--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -13,7 +13,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.Callable;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -36,26 +35,26 @@
     /** The records' file, and the service's name in it. */
     public record Zone(Path file, Name service) {}
 
-    private final Callable<Zone> configured;
+    private final ConfigurationSource<Zone> configured;
     private final List<String> zones;
-    private final long rereadEvery;
+    private final long rereadInterval;
     private final EventLoop loop;
     private final Consumer<ListUpdate> listener;
-    private final EndpointList listing;
+    private final EndpointList endpointList;
     private Zone zone;
-    private String last = "";
-    /** What was wrong when it was last looked at: a line is worth it once. */
-    private String fault = "";
+    private String lastText = "";
+    /** The last fault, so that each is logged once. */
+    private String lastFault = "";
 
     private boolean watching;
 
     /**
-     * Goes on from {@code known}; {@code zones} names them in the settings' order. The file is looked at
-     * every so many microseconds.
+     * Continues from {@code known}; {@code zones} names them in the settings' order. The file is read again every
+     * {@code rereadInterval} microseconds.
      */
     public DnsSdZoneFile(
             Zone zone,
-            Callable<Zone> configured,
+            ConfigurationSource<Zone> configured,
             List<String> zones,
             ListUpdate known,
             long rereadEvery,
@@ -64,25 +63,24 @@
         this.zone = zone;
         this.configured = configured;
         this.zones = zones;
-        this.rereadEvery = rereadEvery;
+        this.rereadInterval = rereadEvery;
         this.loop = loop;
         this.listener = listener;
-        listing = new EndpointList(known.discovered());
+        endpointList = new EndpointList(known.discovered());
     }
 
     @Override
     public void start() {
         watching = true;
-        look();
+        reread();
     }
 
     @Override
     public void reload() {
         try {
-            zone = configured.call();
-        } catch (Exception e) {
-            LOG.warn(
-                    "the configuration can't be read, {} stays: {}", zone.file().getFileName(), e.getMessage());
+            zone = configured.read();
+        } catch (IOException | IllegalArgumentException e) {
+            LOG.warn("configuration unreadable, keeping {}: {}", zone.file().getFileName(), e.getMessage());
             return;
         }
         read();
@@ -93,61 +91,62 @@
         watching = false;
     }
 
-    private void look() {
+    private void reread() {
         if (watching) {
             read();
-            loop.after(rereadEvery, this::look);
+            loop.after(rereadInterval, this::reread);
         }
     }
 
-    /** A file caught half written, or with a fault, leaves the list as it is. */
+    /** A file that is half written or malformed leaves the list as it is. */
     private void read() {
         try {
             String text = Files.readString(zone.file());
-            if (!text.equals(last)) {
+            if (!text.equals(lastText)) {
                 List<EndpointList.Entry> entries = parse(zone, zones);
-                String unread = EndpointList.fault(entries);
+                String unread = EndpointList.firstFault(entries);
                 if (unread != null) {
-                    LOG.warn("{} can't be read in part: {}", zone.file().getFileName(), unread);
+                    LOG.warn("{} unreadable in part: {}", zone.file().getFileName(), unread);
                 }
-                listener.accept(listing.take(true, entries));
-                last = text;
-                fault = "";
+                listener.accept(endpointList.merge(true, entries));
+                lastText = text;
+                lastFault = "";
             }
         } catch (IOException | RuntimeException e) {
-            if (!fault.equals(e.toString())) {
-                LOG.warn("{} can't be read, the list stays: {}", zone.file().getFileName(), e.getMessage());
+            // The DNS library has no one exception for malformed records.
+            if (!lastFault.equals(e.toString())) {
+                LOG.warn("{} unreadable, keeping the list: {}", zone.file().getFileName(), e.getMessage());
             }
-            fault = e.toString();
+            lastFault = e.toString();
         }
     }
 
-    /** The databases that a zone's file names, as far as they can be read; throws where it is none. */
+    /** The databases that a zone's file names, as far as their records are readable. */
     public static List<EndpointList.Entry> parse(Zone zone, List<String> zones) throws IOException {
         List<Name> instances = new ArrayList<>();
-        Map<Name, SRVRecord> places = new HashMap<>();
+        Map<Name, SRVRecord> services = new HashMap<>();
         Map<Name, TXTRecord> texts = new HashMap<>();
         Map<Name, InetAddress> addresses = new HashMap<>();
         try (Master master = new Master(zone.file().toString(), zone.service())) {
-            for (Record r = master.nextRecord(); r != null; r = master.nextRecord()) {
-                if (r instanceof PTRRecord ptr && r.getName().equals(zone.service())) {
+            for (Record dnsRecord = master.nextRecord(); dnsRecord != null; dnsRecord = master.nextRecord()) {
+                if (dnsRecord instanceof PTRRecord ptr && dnsRecord.getName().equals(zone.service())) {
                     instances.add(ptr.getTarget());
-                } else if (r instanceof SRVRecord srv) {
-                    places.put(r.getName(), srv);
-                } else if (r instanceof TXTRecord txt) {
-                    texts.put(r.getName(), txt);
-                } else if (r instanceof ARecord a) {
-                    addresses.put(r.getName(), a.getAddress());
+                } else if (dnsRecord instanceof SRVRecord srv) {
+                    services.put(dnsRecord.getName(), srv);
+                } else if (dnsRecord instanceof TXTRecord txt) {
+                    texts.put(dnsRecord.getName(), txt);
+                } else if (dnsRecord instanceof ARecord a) {
+                    addresses.put(dnsRecord.getName(), a.getAddress());
                 }
             }
         }
         List<EndpointList.Entry> entries = new ArrayList<>();
         for (Name instance : instances) {
-            SRVRecord place = places.get(instance);
+            SRVRecord service = services.get(instance);
             entries.add(entry(
                     instance,
-                    place,
-                    place == null ? null : addresses.get(place.getTarget()),
+                    service,
+                    service == null ? null : addresses.get(service.getTarget()),
                     texts.get(instance),
                     zones));
         }
@@ -155,41 +154,41 @@
     }
 
     private static EndpointList.Entry entry(
-            Name instance, SRVRecord place, InetAddress address, TXTRecord txt, List<String> zones) {
-        String server = instance.getLabelString(0);
-        EndpointStatus standing = null;
+            Name instance, SRVRecord service, InetAddress address, TXTRecord txt, List<String> zones) {
+        String endpointId = instance.getLabelString(0);
+        EndpointStatus status = null;
         try {
-            Map<String, String> facts = facts(txt);
-            standing = EndpointListCodec.status(facts.getOrDefault("state", "up"));
-            Role role = "read-write".equals(facts.get("mode")) ? Role.PRIMARY : Role.UNKNOWN;
+            Map<String, String> attributes = attributes(txt);
+            status = EndpointListCodec.status(attributes.getOrDefault("state", "up"));
+            Role role = "read-write".equals(attributes.get("mode")) ? Role.PRIMARY : Role.UNKNOWN;
             if (address == null) {
-                throw new IllegalArgumentException("lacks its SRV or A");
+                throw new EndpointListFormatException("lacks its SRV or A");
             }
-            Endpoint member = new Endpoint(
-                    server,
-                    zones.indexOf(facts.getOrDefault("zone", "")),
-                    Long.parseLong(facts.getOrDefault("cell", "")),
+            Endpoint endpoint = new Endpoint(
+                    endpointId,
+                    zones.indexOf(attributes.getOrDefault("zone", "")),
+                    Long.parseLong(attributes.getOrDefault("cell", "")),
                     role,
-                    standing,
-                    Long.parseLong(facts.getOrDefault("started_ms", "0")) * 1_000);
+                    status,
+                    Long.parseLong(attributes.getOrDefault("started_ms", "0")) * 1_000);
             return EndpointList.Entry.of(
-                    new DiscoveredEndpoint(member, new InetSocketAddress(address, place.getPort())));
+                    new DiscoveredEndpoint(endpoint, new InetSocketAddress(address, service.getPort())));
         } catch (IllegalArgumentException e) {
-            return new EndpointList.Entry(server, standing, null, instance + ": " + e.getMessage());
+            return new EndpointList.Entry(endpointId, status, null, instance + ": " + e.getMessage());
         }
     }
 
-    private static Map<String, String> facts(TXTRecord txt) {
+    private static Map<String, String> attributes(TXTRecord txt) {
         if (txt == null) {
-            throw new IllegalArgumentException("lacks its TXT");
+            throw new EndpointListFormatException("lacks its TXT");
         }
-        Map<String, String> facts = new HashMap<>();
+        Map<String, String> attributes = new HashMap<>();
         for (String text : txt.getStrings()) {
             int equals = text.indexOf('=');
             if (equals > 0) {
-                facts.put(text.substring(0, equals), text.substring(equals + 1));
+                attributes.put(text.substring(0, equals), text.substring(equals + 1));
             }
         }
-        return facts;
+        return attributes;
     }
 }
--- a/src/main/java/crankwick/discovery/EndpointList.java
+++ b/src/main/java/crankwick/discovery/EndpointList.java
@@ -1,5 +1,7 @@
 package crankwick.discovery;
 
+import crankwick.discovery.Discovery.DiscoveredEndpoint;
+import crankwick.discovery.Discovery.ListUpdate;
 import crankwick.routing.api.Endpoint;
 import crankwick.routing.api.EndpointStatus;
 import crankwick.routing.api.EndpointUpdateKind;
@@ -10,36 +12,35 @@
 import java.util.Map;
 
 /**
- * Makes news of a list's entries, of which some can't be read. Each database is kept as it was last read, so
- * that a fault costs no more than it must: an entry whose name can be read stands for the database as it was,
- * and leads only towards caution. It is as large as the list. Not safe for use by several threads.
+ * Turns the entries of a list, of which some may be unreadable, into updates. It remembers the last readable
+ * state of each endpoint: an unreadable entry stands for that state, and can only make it more cautious. It is
+ * bounded by the size of the list and not thread-safe.
  */
 public final class EndpointList {
     /**
-     * One entry as far as it can be read.
+     * One entry, as far as it could be decoded.
      *
-     * @param endpointId the database's name, null if that can't be read
-     * @param status null if that can't be read
-     * @param discovered null unless all of it can be read
-     * @param fault what can't be read, null if all can
+     * @param endpointId the endpoint's name; null if that is unreadable
+     * @param status null if that is unreadable
+     * @param discovered the complete entry; null unless all of it is readable
+     * @param fault what is unreadable; null if nothing is
      */
-    public record Entry(
-            String endpointId, EndpointStatus status, Discovery.DiscoveredEndpoint discovered, String fault) {
-        /** An entry that can be read. */
-        static Entry of(Discovery.DiscoveredEndpoint host) {
-            return new Entry(host.endpoint().id(), host.endpoint().status(), host, null);
+    public record Entry(String endpointId, EndpointStatus status, DiscoveredEndpoint discovered, String fault) {
+        /** A readable entry. */
+        static Entry of(DiscoveredEndpoint discovered) {
+            return new Entry(discovered.endpoint().id(), discovered.endpoint().status(), discovered, null);
         }
     }
 
-    private final Map<String, Discovery.DiscoveredEndpoint> last = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> lastKnown = new HashMap<>();
 
-    /** Goes on from the list last had. */
-    public EndpointList(List<Discovery.DiscoveredEndpoint> known) {
-        known.forEach(host -> last.put(host.endpoint().id(), host));
+    /** Continues from a known list. */
+    public EndpointList(List<DiscoveredEndpoint> known) {
+        known.forEach(discovered -> lastKnown.put(discovered.endpoint().id(), discovered));
     }
 
-    /** What is wrong with the first entry that can't be read, or null. */
-    public static String fault(List<Entry> entries) {
+    /** What is wrong with the first unreadable entry; null if all are readable. */
+    public static String firstFault(List<Entry> entries) {
         for (Entry entry : entries) {
             if (entry.fault() != null) {
                 return entry.fault();
@@ -48,59 +49,65 @@
         return null;
     }
 
-    /** The list that a configuration holds; throws IllegalArgumentException where not all can be read. */
-    public static Discovery.ListUpdate known(List<Entry> entries) {
-        String fault = fault(entries);
+    /** The list of a configuration, of which every entry has to be readable. */
+    public static ListUpdate complete(List<Entry> entries) {
+        String fault = firstFault(entries);
         if (fault != null) {
-            throw new IllegalArgumentException(fault);
+            throw new EndpointListFormatException(fault);
         }
-        List<Discovery.DiscoveredEndpoint> hosts = new ArrayList<>();
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         for (Entry entry : entries) {
-            hosts.add(entry.discovered());
+            endpoints.add(entry.discovered());
         }
-        return new Discovery.ListUpdate(EndpointUpdateKind.RESTORED, hosts);
+        return new ListUpdate(EndpointUpdateKind.RESTORED, endpoints);
     }
 
     /**
-     * The news that a list brings, {@code full} if it claims to name all there are. It is a whole list only
-     * where each entry's name can be read: any database might be the one without. Of a database named twice,
-     * that it drains counts.
+     * The update that a list brings; {@code full} if it claims to be complete. It counts as complete only where
+     * the name of each entry is readable, since any endpoint might be the one without. If an endpoint is named
+     * twice, a draining entry wins.
      */
-    public Discovery.ListUpdate take(boolean full, List<Entry> entries) {
-        Map<String, Discovery.DiscoveredEndpoint> told = new LinkedHashMap<>();
-        boolean whole = full;
+    public ListUpdate merge(boolean full, List<Entry> entries) {
+        Map<String, DiscoveredEndpoint> named = new LinkedHashMap<>();
+        boolean complete = full;
         for (Entry entry : entries) {
-            whole &= entry.endpointId() != null;
-            Discovery.DiscoveredEndpoint host = entry.discovered() != null ? entry.discovered() : lastOf(entry);
-            if (host != null) {
-                told.merge(
+            complete &= entry.endpointId() != null;
+            DiscoveredEndpoint discovered = entry.discovered() != null ? entry.discovered() : lastKnownOf(entry);
+            if (discovered != null) {
+                named.merge(
                         entry.endpointId(),
-                        host,
+                        discovered,
                         (before, after) -> before.endpoint().status() == EndpointStatus.DRAINING ? before : after);
             }
         }
-        if (whole) {
-            last.clear();
+        if (complete) {
+            lastKnown.clear();
         }
-        told.forEach((server, host) -> {
-            if (host.endpoint().status() == EndpointStatus.REMOVED) {
-                last.remove(server);
+        named.forEach((endpointId, discovered) -> {
+            if (discovered.endpoint().status() == EndpointStatus.REMOVED) {
+                lastKnown.remove(endpointId);
             } else {
-                last.put(server, host);
+                lastKnown.put(endpointId, discovered);
             }
         });
-        return new Discovery.ListUpdate(
-                whole ? EndpointUpdateKind.FULL : EndpointUpdateKind.INCREMENTAL, new ArrayList<>(told.values()));
+        return new ListUpdate(
+                complete ? EndpointUpdateKind.FULL : EndpointUpdateKind.INCREMENTAL, new ArrayList<>(named.values()));
     }
 
-    /** The database of an entry that can't be read, as it was, or leaving if that much can be read. */
-    private Discovery.DiscoveredEndpoint lastOf(Entry entry) {
-        Discovery.DiscoveredEndpoint host = last.get(entry.endpointId());
-        if (host == null || entry.status() == null || entry.status() == EndpointStatus.LIVE) {
-            return host;
+    /** The last known state for an unreadable entry; draining or removed if that much is readable. */
+    private DiscoveredEndpoint lastKnownOf(Entry entry) {
+        DiscoveredEndpoint discovered = lastKnown.get(entry.endpointId());
+        if (discovered == null || entry.status() == null || entry.status() == EndpointStatus.LIVE) {
+            return discovered;
         }
-        Endpoint m = host.endpoint();
-        return new Discovery.DiscoveredEndpoint(
-                new Endpoint(m.id(), m.zone(), m.groupId(), m.role(), entry.status(), m.startedAt()), host.address());
+        Endpoint endpoint = discovered.endpoint();
+        Endpoint leaving = new Endpoint(
+                endpoint.id(),
+                endpoint.zone(),
+                endpoint.groupId(),
+                endpoint.role(),
+                entry.status(),
+                endpoint.startedAt());
+        return new DiscoveredEndpoint(leaving, discovered.address());
     }
 }
--- a/src/main/java/crankwick/discovery/EndpointListCodec.java
+++ b/src/main/java/crankwick/discovery/EndpointListCodec.java
@@ -2,7 +2,9 @@
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
+import com.google.gson.JsonParseException;
 import com.google.gson.JsonParser;
+import crankwick.discovery.Discovery.DiscoveredEndpoint;
 import crankwick.routing.api.Endpoint;
 import crankwick.routing.api.EndpointStatus;
 import crankwick.routing.api.Role;
@@ -10,8 +12,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads discovery's lists of databases. */
+/** Decodes discovery's lists of databases; the names of their fields are mapped to standard terms here. */
 public final class EndpointListCodec {
+    private static final double MICROS_PER_MILLI = 1_000;
+
     private final List<String> zones;
 
     /** {@code zones} names them in the settings' order. */
@@ -19,57 +23,74 @@
         this.zones = zones;
     }
 
-    /** A list's version, whether it claims to be whole, and its entries as far as they can be read. */
+    /** A list's version, whether it claims to be complete, and its entries as far as they can be decoded. */
     public record VersionedList(long version, boolean full, List<EndpointList.Entry> entries) {}
 
-    /** Reads a list; throws IllegalArgumentException or another RuntimeException on what is none. */
+    /** Decodes a list; an entry that can't be decoded is marked as such. */
     public VersionedList parse(String json) {
-        return parse(JsonParser.parseString(json).getAsJsonObject());
+        try {
+            return parse(JsonParser.parseString(json).getAsJsonObject());
+        } catch (JsonParseException | IllegalStateException e) {
+            throw new EndpointListFormatException(e.getMessage(), e);
+        }
     }
 
-    /** Reads a list that is part of a larger document. */
+    /** Decodes a list that is part of a larger document. */
     public VersionedList parse(JsonObject root) {
-        List<EndpointList.Entry> entries = new ArrayList<>();
-        for (JsonElement e : root.getAsJsonArray("servers")) {
-            entries.add(entry(e, entries.size()));
+        try {
+            List<EndpointList.Entry> entries = new ArrayList<>();
+            for (JsonElement element : required(root, "servers").getAsJsonArray()) {
+                entries.add(entry(element, entries.size()));
+            }
+            long version = required(root, "version").getAsLong();
+            return new VersionedList(version, required(root, "full").getAsBoolean(), entries);
+        } catch (IllegalStateException | UnsupportedOperationException | NumberFormatException e) {
+            throw new EndpointListFormatException(e.getMessage(), e);
         }
-        return new VersionedList(
-                root.get("version").getAsLong(), root.get("full").getAsBoolean(), entries);
     }
 
-    private EndpointList.Entry entry(JsonElement e, int place) {
-        String server = null;
-        EndpointStatus standing = null;
+    private EndpointList.Entry entry(JsonElement element, int index) {
+        String endpointId = null;
+        EndpointStatus status = null;
         try {
-            JsonObject o = e.getAsJsonObject();
-            server = o.get("id").getAsString();
-            standing = status(o.get("state").getAsString());
-            return EndpointList.Entry.of(host(o, server, standing));
-        } catch (RuntimeException unreadable) {
-            return new EndpointList.Entry(server, standing, null, "servers[" + place + "]: " + unreadable.getMessage());
+            JsonObject entry = element.getAsJsonObject();
+            endpointId = required(entry, "id").getAsString();
+            status = status(required(entry, "state").getAsString());
+            return EndpointList.Entry.of(discovered(entry, endpointId, status));
+        } catch (IllegalArgumentException | IllegalStateException | UnsupportedOperationException unreadable) {
+            String fault = "servers[" + index + "]: " + unreadable.getMessage();
+            return new EndpointList.Entry(endpointId, status, null, fault);
         }
     }
 
-    private Discovery.DiscoveredEndpoint host(JsonObject o, String server, EndpointStatus standing) {
-        Role role = o.has("mode") && o.get("mode").getAsString().equals("read-write") ? Role.PRIMARY : Role.UNKNOWN;
-        long started = o.has("started_ms") ? (long) (o.get("started_ms").getAsDouble() * 1_000) : 0;
-        Endpoint member = new Endpoint(
-                server,
-                zones.indexOf(o.get("zone").getAsString()),
-                o.get("cell").getAsLong(),
-                role,
-                standing,
-                started);
-        return new Discovery.DiscoveredEndpoint(member, address(o.get("addr").getAsString()));
+    private DiscoveredEndpoint discovered(JsonObject entry, String endpointId, EndpointStatus status) {
+        boolean primary = entry.has("mode") && entry.get("mode").getAsString().equals("read-write");
+        double startedMillis = entry.has("started_ms") ? entry.get("started_ms").getAsDouble() : 0;
+        Endpoint endpoint = new Endpoint(
+                endpointId,
+                zones.indexOf(required(entry, "zone").getAsString()),
+                required(entry, "cell").getAsLong(),
+                primary ? Role.PRIMARY : Role.UNKNOWN,
+                status,
+                (long) (startedMillis * MICROS_PER_MILLI));
+        return new DiscoveredEndpoint(endpoint, address(required(entry, "addr").getAsString()));
+    }
+
+    private static JsonElement required(JsonObject object, String name) {
+        JsonElement value = object.get(name);
+        if (value == null) {
+            throw new EndpointListFormatException(name + " is missing");
+        }
+        return value;
     }
 
-    /** A database's standing by its state's name. */
+    /** A database's status by its name in the list. */
     static EndpointStatus status(String state) {
         return switch (state) {
             case "up" -> EndpointStatus.LIVE;
             case "draining" -> EndpointStatus.DRAINING;
             case "removed" -> EndpointStatus.REMOVED;
-            default -> throw new IllegalArgumentException("unknown state " + state);
+            default -> throw new EndpointListFormatException("unknown state " + state);
         };
     }
 
@@ -77,7 +98,7 @@
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
-            throw new IllegalArgumentException("not an address: " + text);
+            throw new EndpointListFormatException("not an address: " + text);
         }
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
--- a/src/main/java/crankwick/discovery/EndpointWatch.java
+++ b/src/main/java/crankwick/discovery/EndpointWatch.java
@@ -3,90 +3,85 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps a list of databases current: when discovery is called, how long a call may take, which answer is
- * taken. It is the one owner of what discovery's silence means (docs/discovery.md has the budget).
- * Times are microseconds; (event, now) in, {@link Calls} out, no clock or socket of its own.
+ * Keeps an endpoint list current by long polling: when discovery is called, how long a call may take, which
+ * response is accepted. It alone decides what discovery's silence means (docs/discovery.md has the budget).
+ * Times are microseconds; events and a time in, {@link Calls} out; it has no clock and no sockets.
  *
- * <p>A watch goes on call by call, each held by discovery for a drawn time. One that is not answered soon
- * after its hold has fallen silent: it is opened anew at once. What it missed counts as told 6 s after it
- * fell silent, or 2 s after its hold where that is later, and must be honoured within the settings' drain
- * grace from then on.
+ * <p>A watch resumes call by call, each with a random long-poll timeout. A call that is not answered soon after
+ * its timeout has fallen silent, and a new one is opened at once. Changes that it missed bind this proxy 6 s
+ * after it fell silent, or 2 s after its timeout where that is later, and must be honoured within the settings'
+ * drain grace from then on.
  */
 public final class EndpointWatch {
-    /** The version to ask from that brings the whole list. */
-    public static final long WHOLE = -1;
-
-    private static final long MS = 1_000;
-    /**
-     * Holds are drawn from this range, so that watches that fall silent together are not opened anew
-     * together: discovery takes calls in turn. What silence tells is not put off by a hold of up to 4 s.
-     */
-    static final long HOLD_LEAST = 2_000 * MS;
-
-    static final long HOLD_MOST = 4_000 * MS;
-    /** The hold of a watch opened anew: its answer says that the list is current again. */
-    static final long HOLD_ANEW = 250 * MS;
-    /** That of the very first call, drawn up to twice as long: a start has no time to read lists. */
-    static final long HOLD_START = 1_000 * MS;
-    /** A connection to discovery that is not up by then is tried again. */
-    static final long CONNECT = 750 * MS;
-    /** An answer may come this long after its hold: the round trip, and a late loop on part of a core. */
-    static final long PATIENCE = 500 * MS;
-    /** How long a watch's first call may wait its turn; twice as long after each that was given up, up to: */
-    static final long TURN = 2_000 * MS;
-
-    static final long TURN_MOST = 8_000 * MS;
-    /** The pause after a call that failed, doubling with each further one; drawn from the half up. */
-    static final long PAUSE_FIRST = 150 * MS;
-
-    static final long PAUSE_MOST = 600 * MS;
-    /**
-     * So many answers in part to one version are taken for all there is: after half a second it is no
-     * trouble on the way any more, and a fleet that asked on without end would fill discovery's turns.
-     */
-    static final int IN_PART_MOST = 4;
-    /** All proxies may start at once: the first call is put off by up to so long. */
-    static final long START_SPREAD = 100 * MS;
-
+    /** The version to ask from for the complete list. */
+    public static final long FULL_LIST = -1;
+
+    private static final long MICROS_PER_MILLI = 1_000;
+    /** Long-poll timeouts are random, so that watches that fall silent together are not reopened together. */
+    static final long MIN_LONG_POLL_TIMEOUT_MICROS = 2_000 * MICROS_PER_MILLI;
+
+    static final long MAX_LONG_POLL_TIMEOUT_MICROS = 4_000 * MICROS_PER_MILLI;
+    /** Of a reopened watch: its response says that the list is current again. */
+    static final long REOPEN_LONG_POLL_TIMEOUT_MICROS = 250 * MICROS_PER_MILLI;
+    /** Of the first call, up to twice as long: a start has no time to read lists. */
+    static final long INITIAL_LONG_POLL_TIMEOUT_MICROS = 1_000 * MICROS_PER_MILLI;
+
+    static final long CONNECT_TIMEOUT_MICROS = 750 * MICROS_PER_MILLI;
+    /** For the round trip and a late event loop, after the long-poll timeout. */
+    static final long RESPONSE_TIMEOUT_MICROS = 500 * MICROS_PER_MILLI;
+    /** How long the first call of a watch may wait in discovery's queue; doubled after each silent call. */
+    static final long INITIAL_QUEUE_TIMEOUT_MICROS = 2_000 * MICROS_PER_MILLI;
+
+    static final long MAX_QUEUE_TIMEOUT_MICROS = 8_000 * MICROS_PER_MILLI;
+    /** Doubled after each failed call. */
+    static final long INITIAL_BACKOFF_MICROS = 150 * MICROS_PER_MILLI;
+
+    static final long MAX_BACKOFF_MICROS = 600 * MICROS_PER_MILLI;
+    /** A fleet that asked again without end for an entry that stays unreadable would fill discovery's queue. */
+    static final int MAX_PARTIAL_RESPONSES = 4;
+    /** All proxies may start at once. */
+    static final long START_JITTER_MICROS = 100 * MICROS_PER_MILLI;
+
+    private static final int MAX_DOUBLINGS = 2;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** What a keeper does; the caller carries it out at once. */
+    /** What a watch decides; the caller carries it out at once. */
     public interface Calls {
-        /** Opens a call for what is newer than a version, or for the {@link #WHOLE} list, held so long. */
-        void open(long call, long from, long hold);
+        /** Opens a call for changes since a version, or for the {@link #FULL_LIST}. */
+        void open(long call, long fromVersion, long longPollTimeout);
 
-        /** Ends a call; nothing that it still brings counts. */
+        /** Ends a call; a response that still comes does not count. */
         void end(long call);
 
-        /** Leaves a call to where discovery was: what it brings counts until the next one is answered. */
-        void leave(long call);
+        /** Leaves a call open at the previous server: its response counts until the next one comes. */
+        void detach(long call);
     }
 
     private final SplittableRandom random;
     private final Calls calls;
     private long version;
-    private boolean whole;
-    /** The whole list was asked for because an answer was older than the list; such another is the truth. */
-    private boolean renumbered;
-    /** The version last answered in part, and how many times; the last of them is gone on from. */
-    private long inPart = WHOLE;
-
-    private int inPartTimes;
-    /** The call that is open, or 0; calls are numbered from 1. */
-    private long open;
-
-    private long opened;
-    private long hold;
-    private long heldFrom;
-    /** Whether the call goes on where the last one was answered. */
-    private boolean goesOn;
-
-    private long dueAt = NEVER;
+    private boolean fullListWanted;
+    /** A response was older than the list; another such means that the numbering has begun anew. */
+    private boolean olderVersionRejected;
+    /** The version of the last response with unreadable entries, and how many in a row there were. */
+    private long partialResponseVersion = FULL_LIST;
+
+    private int partialResponses;
+    /** The number of the open call, from 1; 0 for none. */
+    private long openCall;
+
+    private long callsOpened;
+    private long longPollTimeout;
+    private long pollStartedAt;
+    /** Whether the open call continues the one before, so that it takes no turn in discovery's queue. */
+    private boolean resumes;
+
+    private long nextTimerAt = NEVER;
     private int failures;
-    private int overdue;
-    private long troubleSince = NEVER;
+    private int silentCalls;
+    private long failingSince = NEVER;
 
-    /** Goes on from a list of the given version. */
+    /** Continues from a list of the given version. */
     public EndpointWatch(long version, long seed, Calls calls) {
         this.version = version;
         this.calls = calls;
@@ -95,129 +90,136 @@
 
     /** Begins to watch. */
     public void start(long now) {
-        dueAt = now + random.nextLong(START_SPREAD);
+        nextTimerAt = now + random.nextLong(START_JITTER_MICROS);
     }
 
-    /** When {@link #due} is to be called next, after any event; the far future where it need not be. */
-    public long dueAt() {
-        return dueAt;
+    /** When {@link #onTimer} is to be called next, after any event; the far future for never. */
+    public long nextTimerAt() {
+        return nextTimerAt;
     }
 
-    /** The version of the list had. */
+    /** The version of the current list. */
     public long version() {
         return version;
     }
 
-    /** Since when discovery has not answered as it should, or a time in the far future. */
-    public long troubleSince() {
-        return troubleSince;
+    /** Since when discovery has been failing; the far future while it is not. */
+    public long failingSince() {
+        return failingSince;
     }
 
-    /** The time has come: a pause is over, or a call has had its time. */
-    public void due(long now) {
-        if (now < dueAt) {
+    /** A backoff is over, or a call has timed out. */
+    public void onTimer(long now) {
+        if (now < nextTimerAt) {
             return;
         }
-        if (open != 0) {
-            troubleSince = Math.min(troubleSince, now);
-            overdue += goesOn ? 0 : 1;
-            goesOn = false;
-            calls.end(open);
+        if (openCall != 0) {
+            failingSince = Math.min(failingSince, now);
+            silentCalls += resumes ? 0 : 1;
+            resumes = false;
+            calls.end(openCall);
         }
-        open(now);
+        openNextCall(now);
     }
 
-    /** The call's connection is up. */
-    public void connected(long call, long now) {
-        if (call == open) {
-            long turn = goesOn ? 0 : Math.min(TURN_MOST, TURN << Math.min(overdue, 2));
-            heldFrom = now;
-            dueAt = now + hold + turn + PATIENCE;
+    /** A call's connection is established. */
+    public void onConnected(long call, long now) {
+        if (call == openCall) {
+            long queueTimeout = resumes
+                    ? 0
+                    : Math.min(
+                            MAX_QUEUE_TIMEOUT_MICROS,
+                            INITIAL_QUEUE_TIMEOUT_MICROS << Math.min(silentCalls, MAX_DOUBLINGS));
+            pollStartedAt = now;
+            nextTimerAt = now + longPollTimeout + queueTimeout + RESPONSE_TIMEOUT_MICROS;
         }
     }
 
     /**
-     * A call was answered by a list that can be read, {@code complete} if all its entries can. True if the
-     * list is to be taken: it is not older than the one had, or the numbering has begun anew. What was not
-     * complete is asked for again after a pause, until {@link #IN_PART_MOST} answers were not. An answer that
-     * brings nothing is not followed at once where its hold was far from over.
+     * A call was answered by a list that can be parsed; {@code complete} if all its entries can. Returns true if
+     * the list is to be accepted: it is not older than the current one, or the numbering has begun anew. An
+     * incomplete list is asked for again after a backoff, up to {@link #MAX_PARTIAL_RESPONSES} times. A response
+     * without changes that came long before the timeout is not followed by the next call at once.
      */
-    public boolean answered(long call, long answered, boolean complete, long now) {
-        if (call != open) {
+    public boolean onResponse(long call, long responseVersion, boolean complete, long now) {
+        if (call != openCall) {
             return false;
         }
-        open = 0;
-        boolean older = answered < version;
-        boolean taken = !older || renumbered;
-        renumbered = older && !taken;
-        inPartTimes = complete ? 0 : inPart == answered ? inPartTimes + 1 : 1;
-        inPart = answered;
-        boolean again = !taken || !complete && inPartTimes < IN_PART_MOST;
-        whole = renumbered || whole && again;
-        if (again) {
-            pause(now);
-            return taken;
+        openCall = 0;
+        boolean older = responseVersion < version;
+        boolean accepted = !older || olderVersionRejected;
+        olderVersionRejected = older && !accepted;
+        partialResponses = complete ? 0 : partialResponseVersion == responseVersion ? partialResponses + 1 : 1;
+        partialResponseVersion = responseVersion;
+        boolean retry = !accepted || !complete && partialResponses < MAX_PARTIAL_RESPONSES;
+        fullListWanted = olderVersionRejected || fullListWanted && retry;
+        if (retry) {
+            backOff(now);
+            return accepted;
         }
-        boolean idle = answered == version && now < heldFrom + hold / 2;
-        version = answered;
+        boolean idle = responseVersion == version && now < pollStartedAt + longPollTimeout / 2;
+        version = responseVersion;
         failures = 0;
-        overdue = 0;
-        troubleSince = NEVER;
-        goesOn = true;
+        silentCalls = 0;
+        failingSince = NEVER;
+        resumes = true;
         if (idle) {
-            dueAt = now + PAUSE_FIRST / 2;
+            nextTimerAt = now + INITIAL_BACKOFF_MICROS / 2;
         } else {
-            open(now);
+            openNextCall(now);
         }
         return true;
     }
 
-    /** A call failed: refused, reset, turned away, or answered by what can't be read. */
-    public void failed(long call, long now) {
-        if (call == open) {
-            open = 0;
-            pause(now);
+    /** A call failed: refused, reset, rejected, or answered by what can't be parsed. */
+    public void onFailure(long call, long now) {
+        if (call == openCall) {
+            openCall = 0;
+            backOff(now);
         }
     }
 
     /**
-     * Discovery is at another place from now on: what the list lacks is asked there, at once and whole. What
-     * the old place has written by now is told, though it may not have arrived.
+     * Discovery has another address from now on, and is asked there for the complete list at once. The call at
+     * the previous address is detached: what it has written by now still counts.
      */
-    public void moved(long now) {
-        if (open != 0) {
-            calls.leave(open);
+    public void onServerChanged(long now) {
+        if (openCall != 0) {
+            calls.detach(openCall);
         }
-        whole = true;
+        fullListWanted = true;
         failures = 0;
-        overdue = 0;
-        goesOn = false;
-        open(now);
+        silentCalls = 0;
+        resumes = false;
+        openNextCall(now);
     }
 
-    /** Ends the call that is open, and calls no more. */
-    public void end() {
-        if (open != 0) {
-            calls.end(open);
+    /** Ends the open call, and opens no more. */
+    public void close() {
+        if (openCall != 0) {
+            calls.end(openCall);
         }
-        open = 0;
-        dueAt = NEVER;
+        openCall = 0;
+        nextTimerAt = NEVER;
     }
 
-    private void open(long now) {
-        open = ++opened;
-        hold = goesOn
-                ? HOLD_LEAST + random.nextLong(HOLD_MOST - HOLD_LEAST)
-                : whole || troubleSince < NEVER ? HOLD_ANEW : HOLD_START + random.nextLong(HOLD_START);
-        heldFrom = now;
-        dueAt = now + CONNECT;
-        calls.open(open, whole ? WHOLE : version, hold);
+    private void openNextCall(long now) {
+        openCall = ++callsOpened;
+        longPollTimeout = resumes
+                ? MIN_LONG_POLL_TIMEOUT_MICROS
+                        + random.nextLong(MAX_LONG_POLL_TIMEOUT_MICROS - MIN_LONG_POLL_TIMEOUT_MICROS)
+                : fullListWanted || failingSince < NEVER
+                        ? REOPEN_LONG_POLL_TIMEOUT_MICROS
+                        : INITIAL_LONG_POLL_TIMEOUT_MICROS + random.nextLong(INITIAL_LONG_POLL_TIMEOUT_MICROS);
+        pollStartedAt = now;
+        nextTimerAt = now + CONNECT_TIMEOUT_MICROS;
+        calls.open(openCall, fullListWanted ? FULL_LIST : version, longPollTimeout);
     }
 
-    private void pause(long now) {
-        troubleSince = Math.min(troubleSince, now);
-        goesOn = false;
-        long pause = Math.min(PAUSE_MOST, PAUSE_FIRST << Math.min(failures++, 2));
-        dueAt = now + pause / 2 + random.nextLong(pause / 2);
+    private void backOff(long now) {
+        failingSince = Math.min(failingSince, now);
+        resumes = false;
+        long backoff = Math.min(MAX_BACKOFF_MICROS, INITIAL_BACKOFF_MICROS << Math.min(failures++, MAX_DOUBLINGS));
+        nextTimerAt = now + backoff / 2 + random.nextLong(backoff / 2);
     }
 }
--- /dev/null
+++ b/src/main/java/crankwick/discovery/ResponseAssembler.java
@@ -0,0 +1,64 @@
+package crankwick.discovery;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import org.glassfish.grizzly.filterchain.BaseFilter;
+import org.glassfish.grizzly.filterchain.FilterChainContext;
+import org.glassfish.grizzly.filterchain.NextAction;
+import org.glassfish.grizzly.http.HttpContent;
+import org.glassfish.grizzly.http.HttpResponsePacket;
+
+/**
+ * Assembles the response to a {@link DiscoveryCall}. One without a length ends with its connection, however that
+ * ends: half a list can't be parsed.
+ */
+final class ResponseAssembler extends BaseFilter {
+    /** Bounds memory; a list of 1,024 databases takes a seventh of it, indented. */
+    private static final int MAX_BODY_BYTES = 2 << 20;
+
+    private static final int STATUS_OK = 200;
+
+    private final DiscoveryCall call;
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private int status;
+    private boolean endsWithConnection;
+
+    ResponseAssembler(DiscoveryCall call) {
+        this.call = call;
+    }
+
+    @Override
+    public NextAction handleRead(FilterChainContext context) {
+        HttpContent content = context.getMessage();
+        HttpResponsePacket head = (HttpResponsePacket) content.getHttpHeader();
+        status = head.getStatus();
+        endsWithConnection = !head.isChunked() && head.getContentLength() < 0;
+        byte[] part = new byte[content.getContent().remaining()];
+        content.getContent().get(part);
+        body.writeBytes(part);
+        if (body.size() > MAX_BODY_BYTES) {
+            call.fail("a response of over " + MAX_BODY_BYTES + " bytes");
+        } else if (content.isLast()) {
+            complete();
+        }
+        return context.getStopAction();
+    }
+
+    @Override
+    public NextAction handleClose(FilterChainContext context) {
+        if (endsWithConnection) {
+            complete();
+        } else {
+            call.fail("the connection ended");
+        }
+        return context.getStopAction();
+    }
+
+    private void complete() {
+        if (status == STATUS_OK) {
+            call.respond(body.toString(StandardCharsets.UTF_8));
+        } else {
+            call.fail("status " + status);
+        }
+    }
+}
--- a/src/main/java/crankwick/simulation/DrainSimulation.java
+++ b/src/main/java/crankwick/simulation/DrainSimulation.java
@@ -143,11 +143,11 @@
 
         void tell(Runnable event) {
             event.run();
-            long due = keeper.dueAt();
+            long due = keeper.nextTimerAt();
             if (due < Long.MAX_VALUE) {
                 simulation.at(due + options.lateness(), () -> {
-                    if (keeper.dueAt() == due) {
-                        tell(() -> keeper.due(simulation.now()));
+                    if (keeper.nextTimerAt() == due) {
+                        tell(() -> keeper.onTimer(simulation.now()));
                     }
                 });
             }
@@ -171,7 +171,7 @@
                 return;
             }
             long now = simulation.now();
-            tell(() -> keeper.connected(mine, now));
+            tell(() -> keeper.onConnected(mine, now));
             boolean goesOn = now - answeredAt < GOES_ON;
             long wait = goesOn ? 0 : Math.max(0, busyUntil - now) + options.fleetTurn() / options.proxies();
             if (down || wait > TURN_MOST) {
@@ -203,7 +203,7 @@
             simulation.after(
                     TRIP,
                     () -> tell(() -> {
-                        if (keeper.answered(mine, brings, true, simulation.now())) {
+                        if (keeper.onResponse(mine, brings, true, simulation.now())) {
                             version = brings;
                         }
                     }));
@@ -211,7 +211,7 @@
 
         void fail(long mine) {
             waits = false;
-            simulation.after(TRIP, () -> tell(() -> keeper.failed(mine, simulation.now())));
+            simulation.after(TRIP, () -> tell(() -> keeper.onFailure(mine, simulation.now())));
         }
 
         @Override
@@ -222,7 +222,7 @@
         }
 
         @Override
-        public void leave(long ended) {
+        public void detach(long ended) {
             end(ended);
         }
     }
--- a/src/test/java/crankwick/discovery/EndpointListTest.java
+++ b/src/test/java/crankwick/discovery/EndpointListTest.java
@@ -38,8 +38,8 @@
     }
 
     private static EndpointList listing() {
-        return new EndpointList(
-                EndpointList.known(entries(entry("s", "up"), entry("t", "up"))).discovered());
+        return new EndpointList(EndpointList.complete(entries(entry("s", "up"), entry("t", "up")))
+                .discovered());
     }
 
     /** Guards against a drain passed over because something else of its entry can't be read. */
@@ -47,16 +47,16 @@
     public void drainCountsThoughTheRestOfItsEntryCantBeRead() {
         EndpointList listing = listing();
         List<EndpointList.Entry> entries = entries(unreadable(entry("s", "draining")), entry("t", "up"));
-        assertNotNull(EndpointList.fault(entries));
-        Discovery.ListUpdate news = listing.take(true, entries);
+        assertNotNull(EndpointList.firstFault(entries));
+        Discovery.ListUpdate news = listing.merge(true, entries);
         assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.LIVE));
         assertEquals(news.kind(), EndpointUpdateKind.FULL, "all are named");
-        news = listing.take(false, entries(unreadable(entry("s", "up"))));
+        news = listing.merge(false, entries(unreadable(entry("s", "up"))));
         assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING), "half an entry undoes no drain");
-        news = listing.take(false, entries(unreadable(entry("s", "odd")), unreadable(entry("t", "removed"))));
+        news = listing.merge(false, entries(unreadable(entry("s", "odd")), unreadable(entry("t", "removed"))));
         assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.REMOVED));
         assertEquals(
-                standings(listing.take(false, entries(unreadable(entry("t", "up"))))),
+                standings(listing.merge(false, entries(unreadable(entry("t", "up"))))),
                 Map.of(),
                 "what has left is not known any more");
     }
@@ -64,17 +64,18 @@
     /** Guards against databases that have left staying for good because of somebody else's entry. */
     @Test
     public void wholeListRemovesWhoIsNotNamedUnlessAnEntrysNameCantBeRead() {
-        assertEquals(listing().take(true, entries(unreadable(entry("s", "up")))).kind(), EndpointUpdateKind.FULL);
-        Discovery.ListUpdate news = listing().take(true, entries(entry("s", "up"), "{\"state\":\"up\"}", "7"));
+        assertEquals(
+                listing().merge(true, entries(unreadable(entry("s", "up")))).kind(), EndpointUpdateKind.FULL);
+        Discovery.ListUpdate news = listing().merge(true, entries(entry("s", "up"), "{\"state\":\"up\"}", "7"));
         assertEquals(news.kind(), EndpointUpdateKind.INCREMENTAL);
         assertEquals(standings(news), Map.of("s", EndpointStatus.LIVE));
-        assertEquals(listing().take(true, entries()).kind(), EndpointUpdateKind.FULL, "an empty list is a list");
+        assertEquals(listing().merge(true, entries()).kind(), EndpointUpdateKind.FULL, "an empty list is a list");
     }
 
     @Test
     public void databaseNamedTwiceDrainsIfEitherSaysSo() {
         for (String[] states : new String[][] {{"up", "draining"}, {"draining", "up"}}) {
-            Discovery.ListUpdate news = listing().take(true, entries(entry("s", states[0]), entry("s", states[1])));
+            Discovery.ListUpdate news = listing().merge(true, entries(entry("s", states[0]), entry("s", states[1])));
             assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING));
         }
     }
@@ -92,7 +93,8 @@
                 List<String> entries = new ArrayList<>(List.of(entry("t", "up")));
                 entries.add(random.nextInt(2), readable ? entry("s", state) : unreadable(entry("s", state)));
                 draining = state.equals("draining") || draining && !(readable && state.equals("up"));
-                Discovery.ListUpdate news = listing.take(random.nextBoolean(), entries(entries.toArray(String[]::new)));
+                Discovery.ListUpdate news =
+                        listing.merge(random.nextBoolean(), entries(entries.toArray(String[]::new)));
                 assertEquals(standings(news).get("s"), draining ? EndpointStatus.DRAINING : EndpointStatus.LIVE);
             }
         }
@@ -100,9 +102,9 @@
 
     @Test
     public void configurationHoldsOnlyWhatCanBeRead() {
-        assertNull(EndpointList.fault(entries(entry("s", "up"))));
+        assertNull(EndpointList.firstFault(entries(entry("s", "up"))));
         try {
-            EndpointList.known(entries(entry("s", "up"), unreadable(entry("t", "up"))));
+            EndpointList.complete(entries(entry("s", "up"), unreadable(entry("t", "up"))));
         } catch (IllegalArgumentException e) {
             assertEquals(e.getMessage().substring(0, 12), "servers[1]: ");
             return;
--- a/src/test/java/crankwick/discovery/EndpointWatchTest.java
+++ b/src/test/java/crankwick/discovery/EndpointWatchTest.java
@@ -59,7 +59,7 @@
             }
 
             @Override
-            public void leave(long call) {
+            public void detach(long call) {
                 asked.add(-call);
             }
         });
@@ -70,19 +70,19 @@
         List<Long> asked = new ArrayList<>();
         EndpointWatch keeper = keeper(asked);
         keeper.start(0);
-        keeper.due(SECOND);
-        assertFalse(keeper.answered(1, 7, true, SECOND));
-        keeper.due(2 * SECOND);
-        assertTrue(keeper.answered(2, 7, true, 2 * SECOND));
-        assertEquals(asked, List.of(41L, EndpointWatch.WHOLE, 7L));
-        assertTrue(keeper.answered(3, 9, false, 3 * SECOND), "what can be read of it counts");
-        assertTrue(keeper.dueAt() > 3 * SECOND);
-        keeper.due(4 * SECOND);
+        keeper.onTimer(SECOND);
+        assertFalse(keeper.onResponse(1, 7, true, SECOND));
+        keeper.onTimer(2 * SECOND);
+        assertTrue(keeper.onResponse(2, 7, true, 2 * SECOND));
+        assertEquals(asked, List.of(41L, EndpointWatch.FULL_LIST, 7L));
+        assertTrue(keeper.onResponse(3, 9, false, 3 * SECOND), "what can be read of it counts");
+        assertTrue(keeper.nextTimerAt() > 3 * SECOND);
+        keeper.onTimer(4 * SECOND);
         assertEquals(asked.get(3), Long.valueOf(7), "and is asked for again");
-        assertTrue(keeper.answered(4, 7, true, 4 * SECOND));
+        assertTrue(keeper.onResponse(4, 7, true, 4 * SECOND));
         assertEquals(asked.size(), 4, "nothing newer before its time: no call at once");
-        keeper.moved(5 * SECOND);
-        assertEquals(asked.get(4), Long.valueOf(EndpointWatch.WHOLE));
+        keeper.onServerChanged(5 * SECOND);
+        assertEquals(asked.get(4), Long.valueOf(EndpointWatch.FULL_LIST));
     }
 
     /** Guards against an entry that stays unreadable having every proxy open watch after watch. */
@@ -90,19 +90,20 @@
     public void whatStaysUnreadableIsAskedForAgainAFewTimesForEachVersion() {
         List<Long> asked = new ArrayList<>();
         EndpointWatch keeper = keeper(asked);
-        keeper.moved(0);
+        keeper.onServerChanged(0);
         long now = 0;
         for (long version : new long[] {50, 50, 50, 50, 51, 51, 52}) {
             // Past every pause, before an open call is given up.
-            now += EndpointWatch.PAUSE_MOST + (EndpointWatch.CONNECT - EndpointWatch.PAUSE_MOST) / 2;
-            keeper.due(now);
-            assertTrue(keeper.answered(asked.size(), version, false, now), "what can be read counts");
+            now += EndpointWatch.MAX_BACKOFF_MICROS
+                    + (EndpointWatch.CONNECT_TIMEOUT_MICROS - EndpointWatch.MAX_BACKOFF_MICROS) / 2;
+            keeper.onTimer(now);
+            assertTrue(keeper.onResponse(asked.size(), version, false, now), "what can be read counts");
         }
-        long whole = EndpointWatch.WHOLE;
+        long whole = EndpointWatch.FULL_LIST;
         assertEquals(asked, List.of(whole, whole, whole, whole, 50L, 50L, 50L), "on from 50 at the fourth");
-        now += EndpointWatch.PAUSE_MOST;
-        keeper.due(now);
-        assertTrue(keeper.answered(8, 52, true, now), "and a readable one has the trouble end");
-        assertEquals(keeper.troubleSince(), Long.MAX_VALUE);
+        now += EndpointWatch.MAX_BACKOFF_MICROS;
+        keeper.onTimer(now);
+        assertTrue(keeper.onResponse(8, 52, true, now), "and a readable one has the trouble end");
+        assertEquals(keeper.failingSince(), Long.MAX_VALUE);
     }
 }
