--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -2,17 +2,18 @@
 
 import crankwick.broker.Broker;
 import crankwick.broker.Contract;
+import crankwick.client.ClientListener;
+import crankwick.database.DatabasePool;
+import crankwick.database.PoolSettings;
 import crankwick.discovery.Discovery;
 import crankwick.failover.FailoverSettings;
-import crankwick.net.ClientListener;
-import crankwick.net.Clock;
-import crankwick.net.CodecFilter;
-import crankwick.net.DatabasePool;
-import crankwick.net.EffectRunner;
-import crankwick.net.EventLoop;
-import crankwick.net.Transport;
 import crankwick.routing.api.RequestClass;
+import crankwick.runtime.EffectRunner;
 import crankwick.settings.SettingsCodec;
+import crankwick.transport.Clock;
+import crankwick.transport.CodecFilter;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -77,7 +78,7 @@
         broker = new Broker(settings.routingSettings(), seed, contracts, changes);
         runner = new EffectRunner(broker, loop, clock);
         front = new ClientListener(
-                runner, settings.routingSettings(), settings.classNames(), contracts::containsKey, (int)
+                runner, loop, clock, settings.routingSettings(), settings.classNames(), contracts::containsKey, (int)
                         (sockets * CLIENT_SHARE));
     }
 
@@ -90,11 +91,12 @@
             throws IOException {
         pool = new DatabasePool(
                 runner,
+                loop,
+                clock,
                 transport,
                 wire.database(),
-                settings.routingSettings().limits().connectTimeout(),
-                settings.connIdle(),
-                (int) (sockets * DATABASE_SHARE));
+                new PoolSettings(settings.routingSettings().limits().connectTimeout(), settings.connIdle(), (int)
+                        (sockets * DATABASE_SHARE)));
         loop.execute(() -> {
             new StartupWarmup(settings, wire.front(), wire.database()).run();
             discovery = discoveryOn.apply(loop, clock);
--- a/src/main/java/crankwick/net/AnswerWriter.java
+++ b/src/main/java/crankwick/client/AnswerWriter.java
@@ -1,5 +1,8 @@
-package crankwick.net;
+package crankwick.client;
 
+import crankwick.transport.Clock;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.net.SocketAddress;
 import java.util.function.Consumer;
 import org.glassfish.grizzly.EmptyCompletionHandler;
--- a/src/main/java/crankwick/net/ByteBudget.java
+++ b/src/main/java/crankwick/client/ByteBudget.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.client;
 
 import java.util.concurrent.atomic.AtomicLong;
 
--- a/src/main/java/crankwick/net/ClientCommand.java
+++ b/src/main/java/crankwick/client/ClientCommand.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.client;
 
 import crankwick.statement.Statement;
 
@@ -6,7 +6,7 @@
  * A command's place among the answers of its connection. The loop owns it; the thread that writes to
  * databases asks it only whether its client still waits.
  */
-final class ClientCommand {
+public final class ClientCommand {
     final ClientSession session;
     /** The broker's number for the request. */
     final long ref;
@@ -33,8 +33,18 @@
         this.readAt = readAt;
     }
 
+    /** What it asks; null where the command is no request. */
+    public Statement statement() {
+        return statement;
+    }
+
+    /** When it was read, in microseconds of Unix time. */
+    public long readAt() {
+        return readAt;
+    }
+
     /** True once the client has closed its connection or cancelled the command; on any thread. */
-    boolean isAbandoned() {
+    public boolean isAbandoned() {
         return session.isAbandoned(number);
     }
 }
--- a/src/main/java/crankwick/net/ClientListener.java
+++ b/src/main/java/crankwick/client/ClientListener.java
@@ -1,13 +1,18 @@
-package crankwick.net;
+package crankwick.client;
 
 import crankwick.broker.AbandonReason;
 import crankwick.broker.BrokerEvent;
+import crankwick.broker.BrokerEventSink;
 import crankwick.broker.ClientRequest;
 import crankwick.broker.Reply;
 import crankwick.routing.api.Idempotency;
 import crankwick.routing.api.RequestClass;
 import crankwick.routing.api.RoutingSettings;
 import crankwick.statement.Statement;
+import crankwick.transport.Clock;
+import crankwick.transport.CodecFilter;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -63,7 +68,9 @@
     /** When a command beyond what a client may have open may come again, in microseconds. */
     private static final long EXCESS_RETRY_AFTER = 100_000;
 
-    private final EffectRunner runner;
+    private final BrokerEventSink broker;
+    private final EventLoop loop;
+    private final Clock clock;
     private final List<RequestClass> classes;
     private final Map<String, Integer> classNames = new HashMap<>();
     private final Predicate<String> teams;
@@ -94,14 +101,18 @@
 
     /** {@code names} are those of the settings' classes; {@code teams} says which logins are known. */
     public ClientListener(
-            EffectRunner runner,
+            BrokerEventSink broker,
+            EventLoop loop,
+            Clock clock,
             RoutingSettings settings,
             List<String> names,
             Predicate<String> teams,
             int maxSessions) {
-        this.runner = runner;
+        this.broker = broker;
+        this.loop = loop;
+        this.clock = clock;
         this.classes = settings.requestClasses();
-        answers = new AnswerWriter(runner.loop(), runner.clock(), LINGER, this::flush);
+        answers = new AnswerWriter(loop, clock, LINGER, this::flush);
         long retryAfter = Math.min(EXCESS_RETRY_AFTER, settings.limits().maxRetryAfter());
         excessReply = new Reply.Rejected(
                 Reply.Reason.OVER_OPEN_COMMANDS, settings.limits().retryAfterSupported() ? retryAfter : 0);
@@ -117,7 +128,7 @@
         codec = wire;
         listener = transport.bind(address, wire, new Receiver());
         LOG.info("listening on {}", listener.getLocalAddress());
-        runner.loop().after(SWEEP_EVERY, this::sweep);
+        loop.after(SWEEP_EVERY, this::sweep);
     }
 
     /** From now on the empty query is answered, those that wait first. */
@@ -137,7 +148,7 @@
     public void close(long latest) {
         closing = true;
         answerBy = latest;
-        runner.loop().after(Math.max(0, latest - runner.clock().now()), this::stopReading);
+        loop.after(Math.max(0, latest - clock.now()), this::stopReading);
         if (listener != null) {
             listener.closeSilently();
         }
@@ -152,7 +163,7 @@
      */
     private void stopReading() {
         for (long ref : List.copyOf(open.keySet())) {
-            runner.tell(new BrokerEvent.DeadlineReached(ref));
+            broker.publish(new BrokerEvent.DeadlineReached(ref));
         }
         for (ClientSession session : List.copyOf(sessions)) {
             session.stopReading();
@@ -175,11 +186,13 @@
         return counters + " open_bytes=" + statementBudget.reserved() + " answer_bytes=" + answerBudget.reserved();
     }
 
-    ClientCommand command(long ref) {
+    /** The open command of a request; null once it is answered or abandoned. */
+    public ClientCommand command(long ref) {
         return open.get(ref);
     }
 
-    void answer(long ref, Reply reply) {
+    /** Gives a request its reply. */
+    public void answer(long ref, Reply reply) {
         ClientCommand command = open.remove(ref);
         if (command != null) {
             command.reply = heldAnswer(command.session, reply);
@@ -201,7 +214,7 @@
     }
 
     private void onAccepted(ClientSession session) {
-        session.idleSince = runner.clock().now();
+        session.idleSince = clock.now();
         sessions.add(session);
         if (isOverCap() && !makeRoom(session)) {
             counters.turnedAway.incrementAndGet();
@@ -242,12 +255,14 @@
         }
         session.closeRequested = true;
         closeRequests++;
-        session.closeUnlessBusy(codec, () -> runner.loop().execute(() -> {
-            forgetCloseRequest(session);
-            if (isOverCap()) {
-                makeRoom(session);
-            }
-        }));
+        session.closeUnlessBusy(
+                codec,
+                () -> loop.execute(() -> {
+                    forgetCloseRequest(session);
+                    if (isOverCap()) {
+                        makeRoom(session);
+                    }
+                }));
     }
 
     private void forgetCloseRequest(ClientSession session) {
@@ -301,10 +316,10 @@
             }
             ClientCommand command = add(session, query, number, readAt, statement, null);
             // The client has been waiting since its command was read; the loop may have been late since.
-            long now = runner.clock().now();
+            long now = clock.now();
             long left = Math.min(readAt + statement.timeoutMillis() * 1_000, answerBy) - now;
             long after = statement.requiredPosition() > 0 ? statement.requiredPosition() * 1_000 : -1;
-            runner.tell(new BrokerEvent.RequestReceived(new ClientRequest(
+            broker.publish(new BrokerEvent.RequestReceived(new ClientRequest(
                     command.ref,
                     statement.id(),
                     session.team,
@@ -366,7 +381,7 @@
             session.settled(command.message, command.times);
             session.releaseAnswer(command.reply == null ? 0 : command.reply.valueBytes());
             if (open.remove(command.ref) != null) {
-                runner.tell(new BrokerEvent.RequestAbandoned(command.ref, cause));
+                broker.publish(new BrokerEvent.RequestAbandoned(command.ref, cause));
             }
         }
     }
@@ -374,7 +389,7 @@
     private void flush(ClientSession session) {
         answers.writeReady(session);
         if (session.ending && session.isIdle()) {
-            session.cutAt = runner.clock().now() + LINGER;
+            session.cutAt = clock.now() + LINGER;
             session.connection.closeSilently();
         } else if (closing && session.isIdle()) {
             closeUnlessBusy(session);
@@ -393,19 +408,18 @@
 
     /** Lets go who does not ask, go on or read in time, and who has been idle for long. */
     private void sweep() {
-        long now = runner.clock().now();
+        long now = clock.now();
         long idle = sessions.size() > maxSessions / 2 ? IDLE_CROWDED : IDLE;
         for (ClientSession session : List.copyOf(sessions)) {
             if (session.cutAt > 0 ? session.cutAt < now : session.isUnread(now - UNREAD)) {
                 session.connection.terminateSilently();
             } else if (!session.ending && codec.stalled(session.connection, STALL)) {
-                codec.ifStillStalled(
-                        session.connection, STALL, () -> runner.loop().execute(() -> endStalled(session)));
+                codec.ifStillStalled(session.connection, STALL, () -> loop.execute(() -> endStalled(session)));
             } else if (!session.ending && session.isIdle()) {
                 endIdle(session, now, idle);
             }
         }
-        runner.loop().after(SWEEP_EVERY, this::sweep);
+        loop.after(SWEEP_EVERY, this::sweep);
     }
 
     private void endStalled(ClientSession session) {
@@ -440,7 +454,7 @@
             counters.accepted.incrementAndGet();
             ofConnection.set(connection, session);
             hold(1);
-            runner.loop().execute(() -> onAccepted(session));
+            loop.execute(() -> onAccepted(session));
             return context.getStopAction();
         }
 
@@ -448,9 +462,9 @@
         public NextAction handleRead(FilterChainContext context) {
             ClientSession session = ofConnection.peek(Transport.connection(context));
             List<ClientMessage> messages = context.getMessage();
-            long readAt = runner.clock().now();
+            long readAt = clock.now();
             List<ClientMessage> admitted = session.read(messages);
-            runner.loop().execute(() -> admitted.forEach(message -> onMessage(session, message, readAt)));
+            loop.execute(() -> admitted.forEach(message -> onMessage(session, message, readAt)));
             return context.getStopAction();
         }
 
@@ -460,7 +474,7 @@
             if (session != null) {
                 session.closed();
                 hold(-1);
-                runner.loop().execute(() -> onClosed(session));
+                loop.execute(() -> onClosed(session));
             }
             return context.getStopAction();
         }
--- a/src/main/java/crankwick/net/ClientMessage.java
+++ b/src/main/java/crankwick/client/ClientMessage.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.client;
 
 /** What a client says, whatever its wire. */
 public sealed interface ClientMessage {
--- a/src/main/java/crankwick/net/ClientReply.java
+++ b/src/main/java/crankwick/client/ClientReply.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.client;
 
 import crankwick.broker.Reply;
 
--- a/src/main/java/crankwick/net/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -1,5 +1,7 @@
-package crankwick.net;
+package crankwick.client;
 
+import crankwick.transport.CodecFilter;
+import crankwick.transport.Transport;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- /dev/null
+++ b/src/main/java/crankwick/client/package-info.java
@@ -0,0 +1,2 @@
+/** The client side: listener, sessions, admission of commands and the order of their replies. */
+package crankwick.client;
--- a/src/main/java/crankwick/net/BeginDecision.java
+++ b/src/main/java/crankwick/database/BeginDecision.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.database;
 
 /** Whether the first byte of a command may be written to a database, and why not. */
 enum BeginDecision {
--- a/src/main/java/crankwick/net/DatabaseCommand.java
+++ b/src/main/java/crankwick/database/DatabaseCommand.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.database;
 
 /** What a database is asked, whatever its wire. */
 public sealed interface DatabaseCommand {
--- a/src/main/java/crankwick/net/DatabasePool.java
+++ b/src/main/java/crankwick/database/DatabasePool.java
@@ -1,13 +1,17 @@
-package crankwick.net;
+package crankwick.database;
 
 import crankwick.broker.BrokerEvent;
+import crankwick.broker.BrokerEventSink;
 import crankwick.broker.Effect;
-import crankwick.discovery.Discovery;
 import crankwick.routing.api.AbsentValue;
 import crankwick.routing.api.AttemptResult;
 import crankwick.routing.api.EndpointStatus;
 import crankwick.routing.api.EndpointUpdateKind;
 import crankwick.routing.api.Role;
+import crankwick.transport.Clock;
+import crankwick.transport.CodecFilter;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.net.ConnectException;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
@@ -60,7 +64,7 @@
     private abstract class Job {
         final String server;
         final Supplier<DatabaseCommand> command;
-        final long startedAt = runner.clock().now();
+        final long startedAt = clock.now();
         Link link;
         private boolean over;
 
@@ -87,7 +91,7 @@
         final void end(AttemptResult result, DatabaseMessage.Answered answer) {
             if (!over) {
                 over = true;
-                ended(result, runner.clock().now() - startedAt, answer);
+                ended(result, clock.now() - startedAt, answer);
             }
         }
     }
@@ -96,14 +100,14 @@
     private final class Attempt extends Job {
         final long ref;
         final int number;
-        private final ClientCommand asked;
+        private final CommandSource asked;
         private final long beginBy;
 
-        Attempt(Effect.SendAttempt send, ClientCommand asked) {
+        Attempt(Effect.SendAttempt send, CommandSource asked) {
             super(
                     send.endpointId(),
-                    () -> new DatabaseCommand.Run(asked.statement.withTimeout(
-                            Math.max(1, (send.expiresAt() - runner.clock().now()) / MICROS_PER_MILLI))));
+                    () -> new DatabaseCommand.Run(asked.statement()
+                            .withTimeout(Math.max(1, (send.expiresAt() - clock.now()) / MICROS_PER_MILLI))));
             ref = send.requestId();
             number = send.attempt();
             beginBy = send.startBefore();
@@ -112,12 +116,12 @@
 
         @Override
         boolean needsFreshLook() {
-            return runner.clock().now() - asked.readAt > FRESH;
+            return clock.now() - asked.readAt() > FRESH;
         }
 
         @Override
         BeginDecision mayBegin() {
-            if (runner.clock().now() >= beginBy) {
+            if (clock.now() >= beginBy) {
                 return BeginDecision.TOO_LATE;
             }
             return asked.isAbandoned() ? BeginDecision.CLIENT_GONE : BeginDecision.BEGIN;
@@ -125,13 +129,13 @@
 
         @Override
         void written() {
-            runner.tell(new BrokerEvent.AttemptWritten(ref, number));
+            broker.publish(new BrokerEvent.AttemptWritten(ref, number));
         }
 
         @Override
         void ended(AttemptResult result, long duration, DatabaseMessage.Answered answer) {
             attempts.remove(ref);
-            runner.tell(
+            broker.publish(
                     answer == null
                             ? new BrokerEvent.AttemptEnded(
                                     ref, number, result, duration, Role.UNKNOWN, AbsentValue.NONE, null, null)
@@ -151,7 +155,7 @@
     private final class Probe extends Job {
         Probe(String server) {
             super(server, DatabaseCommand.AskReport::new);
-            runner.loop().after(PROBE_TIMEOUT, () -> giveUp(this, AttemptResult.TIMEOUT));
+            loop.after(PROBE_TIMEOUT, () -> giveUp(this, AttemptResult.TIMEOUT));
         }
 
         @Override
@@ -171,7 +175,7 @@
 
         @Override
         void ended(AttemptResult result, long duration, DatabaseMessage.Answered answer) {
-            runner.tell(new BrokerEvent.HealthCheckEnded(
+            broker.publish(new BrokerEvent.HealthCheckEnded(
                     server, result, duration, answer == null ? null : answer.report()));
         }
     }
@@ -199,15 +203,14 @@
         Link(String server, Job job) {
             this.server = server;
             this.job = job;
-            connectTimer = runner.loop().after(connectTimeout, this::onConnectTimeout);
+            connectTimer = loop.after(connectTimeout, this::onConnectTimeout);
         }
 
         private void onConnectTimeout() {
             if (connection == null) {
                 endIfNotUp("no connection in time");
             } else {
-                Transport.afterReading(
-                        connection, () -> runner.loop().execute(() -> endIfNotUp("no greeting in time")));
+                Transport.afterReading(connection, () -> loop.execute(() -> endIfNotUp("no greeting in time")));
             }
         }
 
@@ -221,7 +224,7 @@
 
         @Override
         public void completed(Connection<SocketAddress> up) {
-            runner.loop().execute(() -> {
+            loop.execute(() -> {
                 if (gone) {
                     up.terminateSilently();
                 } else {
@@ -236,9 +239,8 @@
         @Override
         public void failed(Throwable fault) {
             boolean refused = fault instanceof ConnectException;
-            runner.loop()
-                    .execute(() ->
-                            discard(refused ? AttemptResult.UNREACHABLE : AttemptResult.CONNECTION_LOST_BEFORE_SEND));
+            loop.execute(
+                    () -> discard(refused ? AttemptResult.UNREACHABLE : AttemptResult.CONNECTION_LOST_BEFORE_SEND));
         }
 
         /**
@@ -250,14 +252,14 @@
             next.link = this;
             written = false;
             kept = idleSince > 0;
-            startedAt = runner.clock().now();
+            startedAt = clock.now();
             AtomicBoolean claim = new AtomicBoolean();
             started = claim;
             var whenWritten = new EmptyCompletionHandler<WriteResult<DatabaseCommand, SocketAddress>>() {
                 @Override
                 public void completed(WriteResult<DatabaseCommand, SocketAddress> result) {
                     written = true;
-                    runner.loop().execute(() -> {
+                    loop.execute(() -> {
                         if (job == next) {
                             next.written();
                         }
@@ -283,14 +285,14 @@
                 return;
             }
             if (!Transport.isQuiet(connection)) {
-                runner.loop().execute(this::onClosed);
+                loop.execute(this::onClosed);
                 return;
             }
             DatabaseCommand command = next.command.get();
             BeginDecision decision = next.mayBegin();
             if (decision != BeginDecision.BEGIN) {
                 counters.countWithheld(decision);
-                runner.loop().execute(() -> recallIfStill(next));
+                loop.execute(() -> recallIfStill(next));
             } else if (claim.compareAndSet(false, true)) {
                 codec.expect(connection, command);
                 connection.write(command, whenWritten);
@@ -302,7 +304,7 @@
             job = next;
             next.link = this;
             started = new AtomicBoolean();
-            runner.loop().after(idleSince + REST - runner.clock().now(), () -> {
+            loop.after(idleSince + REST - clock.now(), () -> {
                 if (!gone && job == next) {
                     start(next);
                 }
@@ -366,7 +368,7 @@
 
         void onClosed() {
             if (!moveUnbegun()) {
-                boolean stale = kept && runner.clock().now() - startedAt < AT_ONCE;
+                boolean stale = kept && clock.now() - startedAt < AT_ONCE;
                 discard(
                         !written
                                 ? AttemptResult.CONNECTION_LOST_BEFORE_SEND
@@ -436,7 +438,9 @@
         }
     }
 
-    private final EffectRunner runner;
+    private final BrokerEventSink broker;
+    private final EventLoop loop;
+    private final Clock clock;
     private final Transport transport;
     private final CodecFilter codec;
     private final long connectTimeout;
@@ -444,7 +448,7 @@
     private final int maxLinks;
     private final Deque<Link> noLinks = new ArrayDeque<>(0);
     private final FilterChain chain;
-    private final Map<String, Discovery.DiscoveredEndpoint> hosts = new HashMap<>();
+    private final Map<String, EndpointAddress> hosts = new HashMap<>();
     /** When those hosts that are no longer listed left the list. */
     private final Map<String, Long> leftAt = new HashMap<>();
 
@@ -454,23 +458,25 @@
     private int links;
     private final PoolCounters counters = new PoolCounters();
 
-    /** Databases end connections idle for {@code idleLimit}; at most {@code maxLinks} are held. */
+    /** The codec is the one of the databases' protocol. */
     public DatabasePool(
-            EffectRunner runner,
+            BrokerEventSink broker,
+            EventLoop loop,
+            Clock clock,
             Transport transport,
             CodecFilter codec,
-            long connectTimeout,
-            long idleLimit,
-            int maxLinks) {
-        this.runner = runner;
+            PoolSettings settings) {
+        this.broker = broker;
+        this.loop = loop;
+        this.clock = clock;
         this.transport = transport;
         this.codec = codec;
-        this.connectTimeout = connectTimeout;
-        this.maxLinks = maxLinks;
+        connectTimeout = settings.connectTimeoutMicros();
+        maxLinks = settings.maxConnections();
         chain = Transport.chain(codec, new Receiver());
-        maxIdle = (long) (idleLimit * IDLE_SHARE);
-        runner.loop().after(REAP_EVERY, this::reap);
-        runner.loop().after(STALL_CHECK, this::endStalled);
+        maxIdle = (long) (settings.serverIdleTimeoutMicros() * IDLE_SHARE);
+        loop.after(REAP_EVERY, this::reap);
+        loop.after(STALL_CHECK, this::endStalled);
     }
 
     /** What has been counted of connections to databases, for a line in the log. */
@@ -479,15 +485,15 @@
     }
 
     /** Takes the addresses in; what was connected to an earlier process or is to go is not used again. */
-    void learn(Discovery.ListUpdate news) {
-        long now = runner.clock().now();
-        if (news.kind() == EndpointUpdateKind.FULL) {
+    public void learn(EndpointUpdateKind kind, List<EndpointAddress> listed) {
+        long now = clock.now();
+        if (kind == EndpointUpdateKind.FULL) {
             hosts.keySet().forEach(server -> leftAt.putIfAbsent(server, now));
         }
-        for (Discovery.DiscoveredEndpoint host : news.discovered()) {
+        for (EndpointAddress host : listed) {
             String server = host.endpoint().id();
             boolean gone = host.endpoint().status() == EndpointStatus.REMOVED;
-            Discovery.DiscoveredEndpoint known = hosts.put(server, host);
+            EndpointAddress known = hosts.put(server, host);
             if (gone) {
                 leftAt.putIfAbsent(server, now);
             } else {
@@ -502,14 +508,15 @@
         }
     }
 
-    void send(Effect.SendAttempt send, ClientCommand asked) {
+    /** Makes an attempt of a request. */
+    public void send(Effect.SendAttempt send, CommandSource asked) {
         Attempt attempt = new Attempt(send, asked);
         attempts.put(send.requestId(), attempt);
         begin(attempt);
     }
 
     /** The broker has already booked the attempt as ended. */
-    void withdraw(long ref) {
+    public void withdraw(long ref) {
         Attempt attempt = attempts.remove(ref);
         if (attempt != null) {
             attempt.over();
@@ -518,19 +525,20 @@
     }
 
     /** Ends an attempt of which nothing has been written; one that has begun goes on. */
-    void recall(long ref) {
+    public void recall(long ref) {
         Attempt attempt = attempts.get(ref);
         if (attempt != null && attempt.link != null && attempt.link.job == attempt) {
             attempt.link.recall(AttemptResult.NOT_SENT);
         }
     }
 
-    void probe(String server) {
+    /** Asks a database for its load report. */
+    public void probe(String server) {
         begin(new Probe(server));
     }
 
     private void begin(Job job) {
-        Discovery.DiscoveredEndpoint host = hosts.get(job.server);
+        EndpointAddress host = hosts.get(job.server);
         Link link = rested(job.server);
         Link resting =
                 link != null ? null : idle.getOrDefault(job.server, noLinks).pollFirst();
@@ -551,7 +559,7 @@
 
     /** The connection to a database that was used last, of those that have rested; null if none has. */
     private Link rested(String server) {
-        long since = runner.clock().now() - REST;
+        long since = clock.now() - REST;
         Iterator<Link> free = idle.getOrDefault(server, noLinks).descendingIterator();
         while (free.hasNext()) {
             Link link = free.next();
@@ -587,7 +595,7 @@
     }
 
     private void release(Link link) {
-        link.idleSince = runner.clock().now();
+        link.idleSince = clock.now();
         idle.computeIfAbsent(link.server, s -> new ArrayDeque<>()).addLast(link);
     }
 
@@ -596,7 +604,7 @@
     }
 
     private void reap() {
-        long now = runner.clock().now();
+        long now = clock.now();
         for (Deque<Link> free : idle.values()) {
             while (!free.isEmpty() && free.peekFirst().idleSince < now - maxIdle) {
                 free.peekFirst().discard(AttemptResult.RESET);
@@ -611,17 +619,17 @@
                 left.remove();
             }
         }
-        runner.loop().after(REAP_EVERY, this::reap);
+        loop.after(REAP_EVERY, this::reap);
     }
 
     /** An answer that has begun and does not end is spoilt. */
     private void endStalled() {
         for (Link link : List.copyOf(byConnection.values())) {
             if (!link.gone && codec.stalled(link.connection, STALL)) {
-                codec.ifStillStalled(link.connection, STALL, () -> runner.loop().execute(link::onStalled));
+                codec.ifStillStalled(link.connection, STALL, () -> loop.execute(link::onStalled));
             }
         }
-        runner.loop().after(STALL_CHECK, this::endStalled);
+        loop.after(STALL_CHECK, this::endStalled);
     }
 
     /** The chain's last filter: passes what the codec has read on to the loop. */
@@ -630,7 +638,7 @@
         public NextAction handleRead(FilterChainContext context) {
             Connection<SocketAddress> connection = Transport.connection(context);
             List<DatabaseMessage> messages = context.getMessage();
-            runner.loop().execute(() -> {
+            loop.execute(() -> {
                 Link link = byConnection.get(connection);
                 if (link != null) {
                     link.onMessages(messages);
@@ -642,7 +650,7 @@
         @Override
         public NextAction handleClose(FilterChainContext context) {
             Connection<SocketAddress> connection = Transport.connection(context);
-            runner.loop().execute(() -> {
+            loop.execute(() -> {
                 Link link = byConnection.get(connection);
                 if (link != null) {
                     link.onClosed();
--- a/src/main/java/crankwick/net/LoadReportCodec.java
+++ b/src/main/java/crankwick/database/LoadReportCodec.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.database;
 
 import crankwick.routing.api.AbsentValue;
 import crankwick.routing.api.LoadReport;
--- a/src/main/java/crankwick/net/PoolCounters.java
+++ b/src/main/java/crankwick/database/PoolCounters.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.database;
 
 import java.util.concurrent.atomic.AtomicLong;
 
--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -1,9 +1,9 @@
 package crankwick.discovery;
 
-import crankwick.net.EventLoop;
 import crankwick.routing.api.Endpoint;
 import crankwick.routing.api.EndpointStatus;
 import crankwick.routing.api.Role;
+import crankwick.transport.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/crankwick/discovery/HttpEndpointWatch.java
+++ b/src/main/java/crankwick/discovery/HttpEndpointWatch.java
@@ -1,8 +1,8 @@
 package crankwick.discovery;
 
-import crankwick.net.Clock;
-import crankwick.net.EventLoop;
-import crankwick.net.Transport;
+import crankwick.transport.Clock;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -1,19 +1,19 @@
 package crankwick.emulator;
 
+import crankwick.client.ClientMessage;
+import crankwick.client.ClientReply;
+import crankwick.database.DatabaseReply;
 import crankwick.model.GroupModel;
 import crankwick.model.ModelEffect;
 import crankwick.model.ModelEvent;
 import crankwick.model.ModelEvent.Trouble.Kind;
 import crankwick.model.ModelSettings;
-import crankwick.net.ClientMessage;
-import crankwick.net.ClientReply;
-import crankwick.net.Clock;
-import crankwick.net.CodecFilter;
-import crankwick.net.DatabaseReply;
-import crankwick.net.EventLoop;
-import crankwick.net.Transport;
 import crankwick.routing.api.Role;
 import crankwick.statement.Statement;
+import crankwick.transport.Clock;
+import crankwick.transport.CodecFilter;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/crankwick/pg/PgEmulatorCodec.java
+++ b/src/main/java/crankwick/pg/PgEmulatorCodec.java
@@ -1,9 +1,9 @@
 package crankwick.pg;
 
-import crankwick.net.ClientReply;
-import crankwick.net.CodecFilter;
-import crankwick.net.DatabaseReply;
+import crankwick.client.ClientReply;
+import crankwick.database.DatabaseReply;
 import crankwick.routing.api.AttemptResult;
+import crankwick.transport.CodecFilter;
 import java.nio.charset.StandardCharsets;
 
 /** A database's side of PostgreSQL's protocol, for emulated ones: reads as the front does. */
--- a/src/main/java/crankwick/net/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -1,15 +1,23 @@
-package crankwick.net;
+package crankwick.runtime;
 
 import crankwick.broker.Broker;
 import crankwick.broker.BrokerEvent;
+import crankwick.broker.BrokerEventSink;
 import crankwick.broker.Effect;
+import crankwick.client.ClientListener;
+import crankwick.database.DatabasePool;
+import crankwick.database.EndpointAddress;
 import crankwick.discovery.Discovery;
+import crankwick.transport.Clock;
+import crankwick.transport.EventLoop;
 import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Hands events to the broker and carries its effects out, in order; lives on the loop. */
-public final class EffectRunner {
+public final class EffectRunner implements BrokerEventSink {
     private static final Logger LOG = LoggerFactory.getLogger(EffectRunner.class);
 
     private final Broker broker;
@@ -34,7 +42,8 @@
     }
 
     /** Tells the broker; an event that an effect brings about waits until that effect's siblings are done. */
-    void tell(BrokerEvent event) {
+    @Override
+    public void publish(BrokerEvent event) {
         events.add(event);
         if (running) {
             return;
@@ -53,7 +62,7 @@
 
     private void run(Effect effect) {
         if (effect instanceof Effect.SendAttempt e) {
-            pool.send(e, front.command(e.requestId()));
+            pool.send(e, new ForwardedCommand(front.command(e.requestId())));
         } else if (effect instanceof Effect.SendReply e) {
             front.answer(e.requestId(), e.reply());
         } else if (effect instanceof Effect.CancelAttempt e) {
@@ -61,7 +70,7 @@
         } else if (effect instanceof Effect.CancelQueued e) {
             pool.recall(e.requestId());
         } else if (effect instanceof Effect.ScheduleTimer e) {
-            loop.after(e.delay(), () -> tell(e.event()));
+            loop.after(e.delay(), () -> publish(e.event()));
         } else if (effect instanceof Effect.CheckHealth e) {
             pool.probe(e.endpointId());
         } else if (effect instanceof Effect.Log e) {
@@ -69,21 +78,13 @@
         }
     }
 
-    /** News of the list: addresses first, so that the broker names none that is unknown here. */
+    /** Takes an update of the endpoint list: the pool first, so that the broker names no database unknown to it. */
     public void listed(Discovery.ListUpdate news) {
-        pool.learn(news);
-        tell(new BrokerEvent.EndpointsUpdated(news.kind(), news.endpoints()));
-    }
-
-    Broker broker() {
-        return broker;
-    }
-
-    EventLoop loop() {
-        return loop;
-    }
-
-    Clock clock() {
-        return clock;
+        List<EndpointAddress> addresses = new ArrayList<>(news.discovered().size());
+        for (Discovery.DiscoveredEndpoint discovered : news.discovered()) {
+            addresses.add(new EndpointAddress(discovered.endpoint(), discovered.address()));
+        }
+        pool.learn(news.kind(), addresses);
+        publish(new BrokerEvent.EndpointsUpdated(news.kind(), news.endpoints()));
     }
 }
--- /dev/null
+++ b/src/main/java/crankwick/runtime/ForwardedCommand.java
@@ -0,0 +1,29 @@
+package crankwick.runtime;
+
+import crankwick.client.ClientCommand;
+import crankwick.database.CommandSource;
+import crankwick.statement.Statement;
+
+/** A client's command on its way to a database. */
+final class ForwardedCommand implements CommandSource {
+    private final ClientCommand command;
+
+    ForwardedCommand(ClientCommand command) {
+        this.command = command;
+    }
+
+    @Override
+    public Statement statement() {
+        return command.statement();
+    }
+
+    @Override
+    public long readAt() {
+        return command.readAt();
+    }
+
+    @Override
+    public boolean isAbandoned() {
+        return command.isAbandoned();
+    }
+}
--- a/src/main/java/crankwick/tds/TdsClientCodec.java
+++ b/src/main/java/crankwick/tds/TdsClientCodec.java
@@ -1,10 +1,10 @@
 package crankwick.tds;
 
 import crankwick.broker.Reply;
-import crankwick.net.ClientMessage;
-import crankwick.net.ClientReply;
-import crankwick.net.CodecFilter;
+import crankwick.client.ClientMessage;
+import crankwick.client.ClientReply;
 import crankwick.routing.api.AbsentValue;
+import crankwick.transport.CodecFilter;
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -1,13 +1,13 @@
 package crankwick.tds;
 
-import crankwick.net.CodecFilter;
-import crankwick.net.DatabaseCommand;
-import crankwick.net.DatabaseMessage;
-import crankwick.net.LoadReportCodec;
+import crankwick.database.DatabaseCommand;
+import crankwick.database.DatabaseMessage;
+import crankwick.database.LoadReportCodec;
 import crankwick.routing.api.AbsentValue;
 import crankwick.routing.api.AttemptResult;
 import crankwick.routing.api.LoadReport;
 import crankwick.routing.api.Role;
+import crankwick.transport.CodecFilter;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
--- a/src/main/java/crankwick/tds/TdsDecoder.java
+++ b/src/main/java/crankwick/tds/TdsDecoder.java
@@ -1,6 +1,6 @@
 package crankwick.tds;
 
-import crankwick.net.CodecFilter;
+import crankwick.transport.CodecFilter;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/src/main/java/crankwick/tds/TdsEmulatorCodec.java
+++ b/src/main/java/crankwick/tds/TdsEmulatorCodec.java
@@ -1,9 +1,9 @@
 package crankwick.tds;
 
-import crankwick.net.ClientReply;
-import crankwick.net.CodecFilter;
-import crankwick.net.DatabaseReply;
+import crankwick.client.ClientReply;
+import crankwick.database.DatabaseReply;
 import crankwick.routing.api.AttemptResult;
+import crankwick.transport.CodecFilter;
 import java.nio.charset.StandardCharsets;
 
 /** A database's side of TDS, for emulated ones: reads as the front does. */
--- a/src/main/java/crankwick/net/Clock.java
+++ b/src/main/java/crankwick/transport/Clock.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.transport;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
--- a/src/main/java/crankwick/net/CodecFilter.java
+++ b/src/main/java/crankwick/transport/CodecFilter.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.transport;
 
 import java.io.IOException;
 import java.nio.BufferUnderflowException;
@@ -154,25 +154,25 @@
     public abstract byte[] encode(Object value);
 
     /** This command goes out next: its answer may come in. To be called where reading is done. */
-    final void expect(Connection<?> connection, Object command) {
+    public final void expect(Connection<?> connection, Object command) {
         decoders.peek(connection).asked(command);
     }
 
     /** True if a part of a value has come in, but not its end. */
-    final boolean hasPartOfAValue(Connection<?> connection) {
+    public final boolean hasPartOfAValue(Connection<?> connection) {
         Decoder decoder = decoders.peek(connection);
         return decoder != null && decoder.openSince != 0;
     }
 
     /** True if a part of a value has been lying here for so many microseconds without its end. */
-    final boolean stalled(Connection<?> connection, long micros) {
+    public final boolean stalled(Connection<?> connection, long micros) {
         Decoder decoder = decoders.peek(connection);
         long since = decoder == null ? 0 : decoder.openSince;
         return since != 0 && System.nanoTime() - since > micros * 1_000;
     }
 
     /** Runs a task, where the connection is read, if it is stalled even once what has arrived is read. */
-    final void ifStillStalled(Connection<?> connection, long micros, Runnable task) {
+    public final void ifStillStalled(Connection<?> connection, long micros, Runnable task) {
         Transport.afterReading(connection, () -> {
             if (stalled(connection, micros)) {
                 task.run();
--- a/src/main/java/crankwick/net/EventLoop.java
+++ b/src/main/java/crankwick/transport/EventLoop.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.transport;
 
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/crankwick/net/Transport.java
+++ b/src/main/java/crankwick/transport/Transport.java
@@ -1,4 +1,4 @@
-package crankwick.net;
+package crankwick.transport;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -84,7 +84,7 @@
     }
 
     /** Runs a task on the thread that reads from a connection, after what is under way there. */
-    static void whereItReads(Connection<?> connection, Runnable task) {
+    public static void whereItReads(Connection<?> connection, Runnable task) {
         connection.executeInEventThread(IOEvent.WRITE, task);
     }
 
@@ -93,12 +93,12 @@
      * concludes something from a peer's silence has to have listened first. Tasks go before what has arrived on
      * sockets, but a task that is handed over by a task goes behind it.
      */
-    static void afterReading(Connection<?> connection, Runnable task) {
+    public static void afterReading(Connection<?> connection, Runnable task) {
         whereItReads(connection, () -> whereItReads(connection, task));
     }
 
     /** True if an open connection has nothing to read; to be asked where it reads. */
-    static boolean isQuiet(Connection<?> connection) {
+    public static boolean isQuiet(Connection<?> connection) {
         try {
             return connection.isOpen() && channel(connection).read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
@@ -107,7 +107,7 @@
     }
 
     /** Takes a connection's event up, or leaves it to wait. */
-    static void toggle(Connection<?> connection, IOEvent event, boolean wanted) {
+    public static void toggle(Connection<?> connection, IOEvent event, boolean wanted) {
         try {
             if (wanted) {
                 connection.enableIOEvent(event);
@@ -120,7 +120,7 @@
     }
 
     /** Ends the sending, as soon as what has been handed over is sent; reading goes on. */
-    static void endSending(Connection<?> connection) {
+    public static void endSending(Connection<?> connection) {
         try {
             channel(connection).shutdownOutput();
         } catch (IOException e) {
--- a/src/test/java/crankwick/PackageOrderTest.java
+++ b/src/test/java/crankwick/PackageOrderTest.java
@@ -24,6 +24,12 @@
             Map.entry("statement", List.of()),
             Map.entry("failover", List.of("routing.api")),
             Map.entry("broker", List.of("routing", "routing.api", "failover")),
+            Map.entry("transport", List.of()),
+            Map.entry("client", List.of("transport", "broker", "routing.api", "statement")),
+            Map.entry("database", List.of("transport", "broker", "routing.api", "statement")),
+            Map.entry(
+                    "runtime",
+                    List.of("client", "database", "discovery", "transport", "broker", "routing.api", "statement")),
             Map.entry("model", List.of("routing.api")),
             Map.entry("simulator", List.of("routing", "routing.api", "settings")));
 
--- a/src/test/java/crankwick/app/LineProtocolCodec.java
+++ b/src/test/java/crankwick/app/LineProtocolCodec.java
@@ -1,9 +1,9 @@
 package crankwick.app;
 
 import crankwick.broker.Reply;
-import crankwick.net.ClientMessage;
-import crankwick.net.ClientReply;
-import crankwick.net.CodecFilter;
+import crankwick.client.ClientMessage;
+import crankwick.client.ClientReply;
+import crankwick.transport.CodecFilter;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -2,13 +2,10 @@
 
 import crankwick.broker.Broker;
 import crankwick.broker.Contract;
+import crankwick.client.ClientListener;
+import crankwick.database.DatabasePool;
+import crankwick.database.PoolSettings;
 import crankwick.discovery.Discovery;
-import crankwick.net.ClientListener;
-import crankwick.net.Clock;
-import crankwick.net.DatabasePool;
-import crankwick.net.EffectRunner;
-import crankwick.net.EventLoop;
-import crankwick.net.Transport;
 import crankwick.pg.PgDatabaseCodec;
 import crankwick.routing.TestSettings;
 import crankwick.routing.api.Endpoint;
@@ -16,6 +13,10 @@
 import crankwick.routing.api.EndpointUpdateKind;
 import crankwick.routing.api.Role;
 import crankwick.routing.api.RoutingSettings;
+import crankwick.runtime.EffectRunner;
+import crankwick.transport.Clock;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -57,10 +58,16 @@
         RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 6_000 * MS, connectTimeout, true);
         broker = new Broker(settings, 1, Map.of("", Contract.UNLIMITED), null);
         EffectRunner runner = new EffectRunner(broker, loop, clock);
-        front = new ClientListener(runner, settings, List.of("write"), ""::equals, maxSessions);
+        front = new ClientListener(runner, loop, clock, settings, List.of("write"), ""::equals, maxSessions);
         runner.attach(
                 front,
-                new DatabasePool(runner, transport, new PgDatabaseCodec(), connectTimeout, IDLE_LIMIT, MAX_LINKS));
+                new DatabasePool(
+                        runner,
+                        loop,
+                        clock,
+                        transport,
+                        new PgDatabaseCodec(),
+                        new PoolSettings(connectTimeout, IDLE_LIMIT, MAX_LINKS)));
         database = new ScriptedDatabase("primary", "read-write", new PgTestClient(), ledger);
         var address = new InetSocketAddress("127.0.0.1", database.listener.getLocalPort());
         Endpoint member = new Endpoint("primary", 0, 0, Role.PRIMARY, EndpointStatus.LIVE, 0);
