--- a/src/main/java/crankwick/discovery/DiscoveryCall.java
+++ b/src/main/java/crankwick/discovery/DiscoveryCall.java
@@ -1,7 +1,7 @@
 package crankwick.discovery;
 
-import crankwick.net.EventLoop;
-import crankwick.net.Transport;
+import crankwick.transport.EventLoop;
+import crankwick.transport.Transport;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.concurrent.Future;
