--- a/src/main/java/crankwick/routing/DeadlineEstimator.java
+++ b/src/main/java/crankwick/routing/DeadlineEstimator.java
@@ -1,11 +1,11 @@
 package crankwick.routing;
 
 /**
- * How long clients of one class wait at their first try, by a vote of their requests: first tries bring the
- * same time, later ones what is left of it.
+ * Estimates the timeout that clients of one class give their first attempts, by a majority vote of their
+ * requests: first attempts carry the same timeout, retries what remains of it.
  */
 final class DeadlineEstimator {
-    /** Agreeing requests before the time counts as known, and at most. */
+    /** Agreeing requests from which the timeout counts as known. */
     private static final int MIN_VOTES = 3;
 
     private static final int MAX_VOTES = 30;
@@ -18,7 +18,7 @@
         this.tolerance = tolerance;
     }
 
-    /** Takes a request's patience in; false if it is known to be another than that of first tries. */
+    /** Records a request's timeout; returns false if it is known to differ from that of first attempts. */
     boolean isFirstAttempt(long timeout) {
         boolean agrees = Math.abs(timeout - firstAttemptTimeout) <= tolerance;
         votes = Math.min(MAX_VOTES, votes + (agrees ? 1 : -1));
--- /dev/null
+++ b/src/main/java/crankwick/routing/EndpointGroup.java
@@ -0,0 +1,145 @@
+package crankwick.routing;
+
+import crankwick.routing.api.Role;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** A primary and its replicas, with the requests that are queued for them or in flight. */
+final class EndpointGroup {
+    private final long id;
+    private final List<EndpointState> endpoints = new ArrayList<>();
+    /** One queue per request class. */
+    private final List<ArrayDeque<PendingRequest>> queues = new ArrayList<>();
+
+    private final SessionTokenStore sessionTokens = new SessionTokenStore();
+    private final Map<Long, PendingRequest> inFlight = new LinkedHashMap<>();
+    private long timerDueAt = Long.MAX_VALUE;
+    private EndpointState primary;
+    /** The one write that may look for an unknown primary. */
+    private PendingRequest primarySeeker;
+
+    EndpointGroup(long id, int requestClasses) {
+        this.id = id;
+        for (int i = 0; i < requestClasses; i++) {
+            queues.add(new ArrayDeque<>());
+        }
+    }
+
+    long id() {
+        return id;
+    }
+
+    /** The endpoints, ordered by their identifiers. */
+    List<EndpointState> endpoints() {
+        return endpoints;
+    }
+
+    List<ArrayDeque<PendingRequest>> queues() {
+        return queues;
+    }
+
+    ArrayDeque<PendingRequest> queue(int classIndex) {
+        return queues.get(classIndex);
+    }
+
+    SessionTokenStore sessionTokens() {
+        return sessionTokens;
+    }
+
+    /** The requests with an attempt in flight, by identifier, in the order of their attempts. */
+    Map<Long, PendingRequest> inFlight() {
+        return inFlight;
+    }
+
+    /** The primary, or null while it is unknown. */
+    EndpointState primary() {
+        return primary;
+    }
+
+    void add(EndpointState endpoint) {
+        endpoints.add(endpoint);
+        endpoints.sort(Comparator.comparing(EndpointState::id));
+    }
+
+    void removeExpired(long now) {
+        endpoints.removeIf(endpoint -> endpoint.isExpired(now));
+        primary = endpoints.contains(primary) ? primary : null;
+    }
+
+    boolean isUnused() {
+        return endpoints.isEmpty() && inFlight.isEmpty();
+    }
+
+    boolean hasAvailableEndpoint() {
+        for (EndpointState endpoint : endpoints) {
+            if (endpoint.isAvailable()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether the endpoint may serve as a replica: no other claim to be primary is known of it. */
+    boolean isReplica(EndpointState endpoint) {
+        return endpoint != primary && endpoint.role() != Role.PRIMARY;
+    }
+
+    /**
+     * Records evidence of a role; the newest wins. A primary's position is the present, so a report's position
+     * dates a claim to be primary, and a later claim to be replica must lie past it.
+     *
+     * @return whether the primary has changed or been lost; false when the first one becomes known
+     */
+    boolean recordRole(EndpointState endpoint, Role role, long asOf) {
+        if (!endpoint.updateRole(role, asOf)) {
+            return false;
+        }
+        EndpointState previous = primary;
+        primary = newestPrimary();
+        return primary != previous && (primary == null || previous != null);
+    }
+
+    private EndpointState newestPrimary() {
+        EndpointState newest = null;
+        for (EndpointState endpoint : endpoints) {
+            boolean isNewer = newest == null || endpoint.roleAsOf() >= newest.roleAsOf();
+            newest = endpoint.role() == Role.PRIMARY && isNewer ? endpoint : newest;
+        }
+        return newest;
+    }
+
+    /** Whether the request may look for an unknown primary: no other one does. */
+    boolean maySeekPrimary(PendingRequest request) {
+        return primarySeeker == null || primarySeeker == request;
+    }
+
+    void startSeekingPrimary(PendingRequest request) {
+        primarySeeker = request;
+    }
+
+    void stopSeekingPrimary(PendingRequest request) {
+        primarySeeker = primarySeeker == request ? null : primarySeeker;
+    }
+
+    /** Whether a timer for {@code due} is needed: none is set, or the one set is later. */
+    boolean needsTimer(long due) {
+        return due < timerDueAt;
+    }
+
+    void setTimer(long due) {
+        timerDueAt = due;
+    }
+
+    /** Clears the timer if it is due; an earlier timer that was replaced has no effect. */
+    void clearDueTimer(long now) {
+        timerDueAt = now >= timerDueAt ? Long.MAX_VALUE : timerDueAt;
+    }
+
+    boolean hasQueuedRequests() {
+        return !queues.stream().allMatch(ArrayDeque::isEmpty);
+    }
+}
--- /dev/null
+++ b/src/main/java/crankwick/routing/EndpointObserver.java
@@ -0,0 +1,202 @@
+package crankwick.routing;
+
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
+
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptOutcome;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.HealthCheckResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoleVisibility;
+import crankwick.routing.api.RoutingActions;
+import crankwick.routing.api.RoutingSettings;
+import java.util.EnumSet;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/** Updates what is known of an endpoint from its listing, the outcomes of attempts and health checks. */
+final class EndpointObserver {
+    /** Results that only a running endpoint can give. */
+    private static final Set<AttemptResult> RESPONSES = EnumSet.of(
+            AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED_OVERLOADED, AttemptResult.INELIGIBLE_REPLICA);
+    /** Results whose duration is that of a response, or a lower bound of it. */
+    private static final Set<AttemptResult> WITH_RESPONSE_TIME =
+            EnumSet.of(AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.CANCELLED);
+
+    private static final Set<AttemptResult> FAILURES = EnumSet.of(
+            AttemptResult.ERROR,
+            AttemptResult.RESET,
+            AttemptResult.REJECTED_OVERLOADED,
+            AttemptResult.UNREACHABLE,
+            AttemptResult.CONNECTION_LOST_BEFORE_SEND);
+
+    /** A response later than this fraction of the latency objective lowers the concurrency limit. */
+    private static final double SLOW_RESPONSE_FRACTION = 0.45;
+    /** So does a replica that lags more than this. */
+    private static final long HIGH_LAG_MICROS = 600 * MICROS_PER_MILLI;
+    /** The age assumed of the role in a response. */
+    private static final long RESPONSE_ROLE_AGE_MICROS = 5 * MICROS_PER_MILLI;
+    /** The role in the endpoint list is a hint: anything that the endpoint itself has said is newer. */
+    private static final long LISTED_ROLE_AS_OF = Long.MIN_VALUE + 1;
+
+    private final RoutingSettings settings;
+    private final LatencyEstimates latency;
+    private final FleetActivity activity;
+    private final ReplicaFreshness freshness;
+    private final SplittableRandom random;
+
+    EndpointObserver(
+            RoutingSettings settings,
+            LatencyEstimates latency,
+            FleetActivity activity,
+            ReplicaFreshness freshness,
+            SplittableRandom random) {
+        this.settings = settings;
+        this.latency = latency;
+        this.activity = activity;
+        this.freshness = freshness;
+        this.random = random;
+    }
+
+    /** Records the start of its process and the role that the endpoint list gives. */
+    void recordListing(EndpointState endpoint, Endpoint listing, long now, RoutingActions actions) {
+        if (listing.startedAt() > endpoint.slowStart().startedAt()) {
+            recordRestart(endpoint, listing.startedAt(), "restarted", now, actions);
+        }
+        if (settings.roleVisibility() != RoleVisibility.HIDDEN
+                && listing.role() == Role.PRIMARY
+                && endpoint.role() == Role.UNKNOWN) {
+            recordRole(endpoint, Role.PRIMARY, LISTED_ROLE_AS_OF, actions);
+        }
+    }
+
+    /** Records the result of a health check. */
+    void recordHealthCheck(EndpointState endpoint, HealthCheckResult check, long now, RoutingActions actions) {
+        endpoint.health().endHealthCheck();
+        switch (check.result()) {
+            case OK, REJECTED_OVERLOADED -> recordResponse(endpoint, now, actions);
+            case UNREACHABLE -> recordUnreachable(endpoint, check.duration(), now, actions);
+            case STALE_CONNECTION, CONNECTION_LOST_BEFORE_SEND -> endpoint.health()
+                    .allowImmediateHealthCheck(now);
+            default -> endpoint.outlier().recordFault(now);
+        }
+        recordReport(endpoint, check.report(), now, actions);
+    }
+
+    /** Records the outcome of an attempt, whose endpoint it no longer occupies. */
+    void recordOutcome(
+            EndpointState endpoint, PendingRequest request, AttemptOutcome outcome, long now, RoutingActions actions) {
+        AttemptResult result = outcome.result();
+        boolean isCommit = request.isWrite() && result == AttemptResult.OK;
+        if (tellsOwnPosition(outcome, isCommit)) {
+            endpoint.position().advance(outcome.position(), now);
+        }
+        recordRole(endpoint, outcome.role(), now - RESPONSE_ROLE_AGE_MICROS, actions);
+        recordReport(endpoint, outcome.report(), now, actions);
+        if (isCommit) {
+            freshness.recordCommit(request, outcome.position());
+        }
+        if (WITH_RESPONSE_TIME.contains(result)) {
+            latency.recordAttempt(endpoint.role(), request, outcome.duration(), now);
+        }
+        if (result == AttemptResult.OK) {
+            recordSuccess(endpoint, request, outcome.duration(), now, actions);
+        } else if (FAILURES.contains(result)) {
+            logIfEjected(endpoint, endpoint.outlier().recordFailure(now, random), actions);
+        }
+        recordCause(endpoint, outcome, now, actions);
+        if (RESPONSES.contains(result)) {
+            recordResponse(endpoint, now, actions);
+        }
+    }
+
+    /** The position in the response to a write is that of the commit, which a replica may not have applied. */
+    private static boolean tellsOwnPosition(AttemptOutcome outcome, boolean isCommit) {
+        return outcome.position() != AbsentValue.NONE
+                && (outcome.role() == Role.PRIMARY || outcome.role() == Role.REPLICA && !isCommit);
+    }
+
+    private void recordSuccess(
+            EndpointState endpoint, PendingRequest request, long duration, long now, RoutingActions actions) {
+        latency.recordSuccess(endpoint, request, duration, now);
+        if (duration > SLOW_RESPONSE_FRACTION * request.requestClass().latencyObjective()) {
+            endpoint.concurrency().decrease();
+        } else {
+            endpoint.concurrency().increase();
+        }
+        if (endpoint.outlier().recordSuccess(request.attemptSentAt())) {
+            actions.log(endpoint.id() + " readmitted");
+        }
+    }
+
+    private void recordCause(EndpointState endpoint, AttemptOutcome outcome, long now, RoutingActions actions) {
+        switch (outcome.result()) {
+            case INELIGIBLE_REPLICA -> endpoint.position().recordIneligible(now);
+            case REJECTED_OVERLOADED, TIMEOUT -> endpoint.concurrency().decrease();
+            case UNREACHABLE -> recordUnreachable(endpoint, outcome.duration(), now, actions);
+            default -> {
+                // The other results tell nothing beyond success or failure.
+            }
+        }
+    }
+
+    private void recordReport(EndpointState endpoint, LoadReport report, long now, RoutingActions actions) {
+        if (report == null) {
+            return;
+        }
+        endpoint.load().update(report, now);
+        activity.recordReport(report);
+        if (endpoint.slowStart().isWarm(now)) {
+            activity.recordUtilization(endpoint.load().utilization());
+        }
+        if (report.position() != AbsentValue.NONE) {
+            endpoint.position().advance(report.position(), now);
+            recordRole(endpoint, report.role(), report.position(), actions);
+            if (endpoint.role() == Role.REPLICA && endpoint.position().lagAt(now) > HIGH_LAG_MICROS) {
+                endpoint.concurrency().decrease();
+            }
+        }
+    }
+
+    private static void recordRole(EndpointState endpoint, Role role, long asOf, RoutingActions actions) {
+        EndpointGroup group = endpoint.group();
+        if (group.recordRole(endpoint, role, asOf)) {
+            EndpointState primary = group.primary();
+            actions.log("group " + group.id() + " primary " + (primary == null ? "unknown" : primary.id()));
+        }
+    }
+
+    /**
+     * Records a response. An endpoint that refused connections and now responds has a new process, which the
+     * endpoint list may not show yet; if a connection limit was the cause, it gets a needless slow start.
+     */
+    private void recordResponse(EndpointState endpoint, long now, RoutingActions actions) {
+        if (endpoint.health().recordResponse(now)) {
+            recordRestart(endpoint, now, "responds again", now, actions);
+        }
+    }
+
+    private void recordRestart(EndpointState endpoint, long start, String event, long now, RoutingActions actions) {
+        if (endpoint.slowStart().isActiveFor(start, now)) {
+            actions.log(endpoint.id() + " " + event + ", slow start");
+        }
+        endpoint.latency().reset();
+        endpoint.outlier().reset();
+        endpoint.slowStart().restart(start, random.nextDouble(), now);
+    }
+
+    private void recordUnreachable(EndpointState endpoint, long duration, long now, RoutingActions actions) {
+        endpoint.health().recordUnreachable(duration, now);
+        if (!settings.limits().healthChecksAllowed()) {
+            logIfEjected(endpoint, endpoint.outlier().recordConnectionFailure(now, random), actions);
+        }
+    }
+
+    private static void logIfEjected(EndpointState endpoint, boolean ejected, RoutingActions actions) {
+        if (ejected) {
+            actions.log(endpoint.id() + " ejected: failure rate");
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/crankwick/routing/EndpointState.java
@@ -0,0 +1,134 @@
+package crankwick.routing;
+
+import static crankwick.routing.TimeUnits.MICROS_PER_SECOND;
+import static crankwick.routing.TimeUnits.NEVER;
+
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.Role;
+import crankwick.routing.api.RoutingSettings;
+
+/** One endpoint as this proxy knows it: its listing and role, and an object for each other concern. */
+final class EndpointState {
+    /** An unlisted endpoint that has not responded for so long is removed. */
+    private static final long UNLISTED_RETENTION_MICROS = 30 * MICROS_PER_SECOND;
+
+    private final String id;
+    private final int zone;
+    private final EndpointGroup group;
+    private final boolean usableWhenUnlisted;
+    private final ReplicationPosition position = new ReplicationPosition();
+    private final ReportedLoad load = new ReportedLoad();
+    private final EndpointLatency latency = new EndpointLatency();
+    private final OutlierDetector outlier = new OutlierDetector();
+    private final ConcurrencyLimit concurrency;
+    private final HealthStatus health;
+    private final SlowStart slowStart;
+    private boolean listed = true;
+    private long unlistedAt = NEVER;
+    private boolean draining;
+    private Role role = Role.UNKNOWN;
+    private long roleAsOf = Long.MIN_VALUE;
+
+    EndpointState(Endpoint listing, EndpointGroup group, RoutingSettings settings) {
+        id = listing.id();
+        zone = listing.zone();
+        this.group = group;
+        usableWhenUnlisted = settings.rules().unlistedEndpointsUsable();
+        concurrency = new ConcurrencyLimit(settings.proxyCount());
+        health = new HealthStatus(settings.limits());
+        slowStart = new SlowStart(settings.rules());
+    }
+
+    String id() {
+        return id;
+    }
+
+    int zone() {
+        return zone;
+    }
+
+    EndpointGroup group() {
+        return group;
+    }
+
+    ReplicationPosition position() {
+        return position;
+    }
+
+    ReportedLoad load() {
+        return load;
+    }
+
+    EndpointLatency latency() {
+        return latency;
+    }
+
+    OutlierDetector outlier() {
+        return outlier;
+    }
+
+    ConcurrencyLimit concurrency() {
+        return concurrency;
+    }
+
+    HealthStatus health() {
+        return health;
+    }
+
+    SlowStart slowStart() {
+        return slowStart;
+    }
+
+    /** Records its status in the endpoint list; an endpoint unlisted while draining stays draining. */
+    void updateStatus(EndpointStatus status, long now) {
+        setListed(status != EndpointStatus.REMOVED, now);
+        draining = status == EndpointStatus.DRAINING || draining && !listed;
+    }
+
+    /** Records that the endpoint is missing from a full list. */
+    void unlist(long now) {
+        setListed(false, now);
+    }
+
+    private void setListed(boolean isListed, long now) {
+        unlistedAt = listed && !isListed ? now : unlistedAt;
+        listed = isListed;
+    }
+
+    /** Whether the endpoint list lets it take requests. */
+    boolean isAvailable() {
+        return !draining && (listed || usableWhenUnlisted);
+    }
+
+    /** Whether it is available, not ejected and not unresponsive. */
+    boolean isHealthy(long now) {
+        return isAvailable()
+                && !outlier.isEjected()
+                && !health.isUnresponsive(HealthStatus.UNHEALTHY_AFTER_MICROS, now);
+    }
+
+    /** Whether it was unlisted long ago, has not responded since and has nothing in flight. */
+    boolean isExpired(long now) {
+        long lastKnownAt = Math.max(unlistedAt, health.lastResponseAt());
+        return !listed && concurrency.inFlight() == 0 && now - lastKnownAt > UNLISTED_RETENTION_MICROS;
+    }
+
+    Role role() {
+        return role;
+    }
+
+    long roleAsOf() {
+        return roleAsOf;
+    }
+
+    /** Records a role unless a newer one is known; returns whether it was recorded. */
+    boolean updateRole(Role observed, long asOf) {
+        if (observed == Role.UNKNOWN || asOf < roleAsOf) {
+            return false;
+        }
+        role = observed;
+        roleAsOf = asOf;
+        return true;
+    }
+}
--- a/src/main/java/crankwick/routing/FadingMean.java
+++ b/src/main/java/crankwick/routing/FadingMean.java
@@ -1,12 +1,12 @@
 package crankwick.routing;
 
-/** A smoothed mean that goes back to a resting value, in a straight line, while nothing is learnt. */
+/** An exponentially weighted mean that returns linearly to a resting value while there are no samples. */
 final class FadingMean {
     private final double gain;
     private final double resting;
     private final long memory;
     private double mean;
-    private long learntAt;
+    private long updatedAt;
 
     FadingMean(double gain, double resting, long memory) {
         this.gain = gain;
@@ -14,13 +14,18 @@
         this.memory = memory;
     }
 
+    /** The weight left of an observation: 1 at {@code observedAt}, falling to 0 after {@code memory}. */
+    static double remainingWeight(long observedAt, long memory, long now) {
+        return Math.max(0, 1 - (now - observedAt) / (double) memory);
+    }
+
     double at(long now) {
-        return resting + Math.max(0, 1 - (now - learntAt) / (double) memory) * (mean - resting);
+        return resting + remainingWeight(updatedAt, memory, now) * (mean - resting);
     }
 
-    void learn(double sample, long now) {
+    void add(double sample, long now) {
         double before = at(now);
         mean = before + gain * (sample - before);
-        learntAt = now;
+        updatedAt = now;
     }
 }
--- /dev/null
+++ b/src/main/java/crankwick/routing/HealthCheckScheduler.java
@@ -0,0 +1,129 @@
+package crankwick.routing;
+
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
+import static crankwick.routing.TimeUnits.MICROS_PER_SECOND;
+
+import crankwick.routing.api.RoutingActions;
+import java.util.ArrayDeque;
+
+/**
+ * Decides which endpoints are checked for the sake of queued requests: when none that could serve them has
+ * responded recently, one replica at a time, or all endpoints that may be the primary.
+ */
+final class HealthCheckScheduler {
+    /** Endpoints that are unresponsive or lag far behind are checked at this interval only. */
+    private static final long LONG_CHECK_INTERVAL_MICROS = 500 * MICROS_PER_MILLI;
+    /** A replica that may become fresh within this time does not lag far behind. */
+    private static final long CATCH_UP_HORIZON_MICROS = MICROS_PER_SECOND;
+
+    private final HealthChecker checker;
+    private final FleetActivity activity;
+    private final ResponseRecency recency;
+    private final ReplicaFreshness freshness;
+    private final LoadShedder loadShedder;
+    private final WeightedSelection weightedSelection;
+    private final PrimaryReadFallback primaryFallback;
+
+    HealthCheckScheduler(
+            HealthChecker checker,
+            FleetActivity activity,
+            ResponseRecency recency,
+            ReplicaFreshness freshness,
+            LoadShedder loadShedder,
+            WeightedSelection weightedSelection,
+            PrimaryReadFallback primaryFallback) {
+        this.checker = checker;
+        this.activity = activity;
+        this.recency = recency;
+        this.freshness = freshness;
+        this.loadShedder = loadShedder;
+        this.weightedSelection = weightedSelection;
+        this.primaryFallback = primaryFallback;
+    }
+
+    /** Checks endpoints for the group's queued requests. */
+    void checkForQueued(EndpointGroup group, long now, RoutingActions actions) {
+        if (!checker.isEnabled()) {
+            return;
+        }
+        for (ArrayDeque<PendingRequest> queue : group.queues()) {
+            for (PendingRequest request : queue) {
+                if (request.needsPrimary()) {
+                    checkPrimary(group, now, actions);
+                    break;
+                }
+                checkReplica(request, now, actions);
+            }
+        }
+    }
+
+    private void checkPrimary(EndpointGroup group, long now, RoutingActions actions) {
+        EndpointState primary = group.primary();
+        boolean primaryInDoubt = primary == null
+                || !primary.isHealthy(now)
+                || primary.health().isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
+        for (EndpointState endpoint : group.endpoints()) {
+            boolean isStalePrimary = endpoint == primary && !recency.hasRecentResponse(endpoint, now);
+            if ((primaryInDoubt || isStalePrimary) && checker.mayCheck(endpoint, now)) {
+                checker.check(endpoint, now, actions);
+            }
+        }
+    }
+
+    private void checkReplica(PendingRequest request, long now, RoutingActions actions) {
+        if (isReplicaExpectedToServe(request, now)) {
+            return;
+        }
+        EndpointState replica = weightedSelection.selectReplica(
+                request, endpoint -> checker.mayCheck(endpoint, now) && isUsefulToCheck(endpoint, request, now), now);
+        if (replica != null) {
+            checker.check(replica, now, actions);
+            return;
+        }
+        EndpointState primary = request.group().primary();
+        if (primary != null
+                && !primary.load().isRecent(now)
+                && checker.mayCheck(primary, now)
+                && primaryFallback.isLimitedByCapacity(request, now)) {
+            checker.check(primary, now, actions);
+        }
+    }
+
+    /** Whether a replica can serve the request soon, or is being checked for it. */
+    private boolean isReplicaExpectedToServe(PendingRequest request, long now) {
+        for (EndpointState endpoint : request.group().endpoints()) {
+            if (endpoint != request.group().primary()
+                    && endpoint.isAvailable()
+                    && (canServe(endpoint, request, now) || isBeingChecked(endpoint, now))) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private boolean canServe(EndpointState endpoint, PendingRequest request, long now) {
+        return endpoint.isHealthy(now)
+                && recency.hasRecentResponse(endpoint, now)
+                && freshness.isFresh(endpoint, request, now)
+                && loadShedder.canAnswerInTime(endpoint, request, now);
+    }
+
+    private static boolean isBeingChecked(EndpointState endpoint, long now) {
+        HealthStatus health = endpoint.health();
+        return health.isHealthCheckInFlight() && !health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
+    }
+
+    /** Whether the result may release the request: the endpoint is neither unresponsive nor far behind. */
+    private boolean isUsefulToCheck(EndpointState endpoint, PendingRequest request, long now) {
+        HealthStatus health = endpoint.health();
+        boolean mayRelease = activity.reportsLoad()
+                || !recency.hasRecentResponse(endpoint, now)
+                || !freshness.isFresh(endpoint, request, now);
+        boolean isLongDue = now - health.lastHealthCheckAt() > checker.costAdjusted(LONG_CHECK_INTERVAL_MICROS);
+        if (!mayRelease || isLongDue) {
+            return mayRelease;
+        }
+        return !health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now)
+                && freshness.mayBeFreshWithin(CATCH_UP_HORIZON_MICROS, endpoint, request, now);
+    }
+}
--- a/src/main/java/crankwick/routing/QuantileEstimate.java
+++ b/src/main/java/crankwick/routing/QuantileEstimate.java
@@ -1,22 +1,22 @@
 package crankwick.routing;
 
-/** An estimate of one quantile of a stream of durations; each sample moves it by a share of itself. */
+/** A streaming estimate of one quantile; each sample moves it by a fraction of its value. */
 final class QuantileEstimate {
     private final double gain;
     private final double quantile;
     private double estimate;
 
-    QuantileEstimate(double gain, double quantile, double start) {
+    QuantileEstimate(double gain, double quantile, double initial) {
         this.gain = gain;
         this.quantile = quantile;
-        estimate = start;
+        estimate = initial;
     }
 
     double value() {
         return estimate;
     }
 
-    void learn(double sample) {
+    void add(double sample) {
         estimate *= 1 + gain * (sample > estimate ? quantile : quantile - 1);
     }
 }
--- /dev/null
+++ b/src/main/java/crankwick/routing/ReplicationPosition.java
@@ -0,0 +1,59 @@
+package crankwick.routing;
+
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
+import static crankwick.routing.TimeUnits.NEVER;
+
+/** The replication progress of one endpoint: the highest log position observed, and when that was. */
+final class ReplicationPosition {
+    /** A replica that lagged less than this when observed may have caught up since. */
+    private static final long SMALL_LAG_MICROS = 500 * MICROS_PER_MILLI;
+
+    private static final long INELIGIBLE_BACKOFF_MICROS = 40 * MICROS_PER_MILLI;
+
+    private long position = Long.MIN_VALUE;
+    private long observedAt = NEVER;
+    private long ineligibleAt = NEVER;
+
+    /** Records an observed position; the known position never goes back. */
+    void advance(long observed, long now) {
+        if (observed > position) {
+            position = observed;
+            observedAt = now;
+        }
+    }
+
+    /** Records that the endpoint declined a read because it lagged too far. */
+    void recordIneligible(long now) {
+        ineligibleAt = now;
+    }
+
+    boolean hasReached(long required) {
+        return position >= required;
+    }
+
+    /** The lag at the time of the last observation. */
+    long observedLag() {
+        return observedAt - position;
+    }
+
+    long lagAt(long now) {
+        return now - position;
+    }
+
+    /** Whether replication may reach the required position within {@code horizon} from now. */
+    boolean mayReachWithin(long horizon, long required, long now) {
+        long reach = horizon + now - observedAt;
+        return required - position < reach;
+    }
+
+    /**
+     * Whether an endpoint that checks its own position may serve the read: its lag is taken to be that of the
+     * last observation, or none if it was never observed.
+     */
+    boolean mayHaveReached(long required, long now) {
+        boolean lagsLittle = observedLag() < SMALL_LAG_MICROS;
+        long progress = Math.max(lagsLittle ? SMALL_LAG_MICROS : 0, now - observedAt);
+        boolean plausible = position == Long.MIN_VALUE || required - position < progress;
+        return plausible && now - ineligibleAt > INELIGIBLE_BACKOFF_MICROS;
+    }
+}
--- /dev/null
+++ b/src/main/java/crankwick/routing/RequestDispatcher.java
@@ -0,0 +1,80 @@
+package crankwick.routing;
+
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
+
+import crankwick.routing.api.RoutingActions;
+import java.util.Iterator;
+import java.util.List;
+
+/** Serves a group's queues: sends what can be sent, gives up what is too late, and sets the group's timer. */
+final class RequestDispatcher {
+    private static final long QUEUE_CHECK_INTERVAL_MICROS = HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS;
+    private static final long MIN_TIMER_MICROS = MICROS_PER_MILLI;
+
+    private final List<Integer> servingOrder;
+    private final EndpointSelector selector;
+    private final LoadShedder loadShedder;
+    private final AttemptTracker attempts;
+    private final OpenRequests openRequests;
+    private final HealthCheckScheduler healthChecks;
+
+    RequestDispatcher(
+            List<Integer> servingOrder,
+            EndpointSelector selector,
+            LoadShedder loadShedder,
+            AttemptTracker attempts,
+            OpenRequests openRequests,
+            HealthCheckScheduler healthChecks) {
+        this.servingOrder = servingOrder;
+        this.selector = selector;
+        this.loadShedder = loadShedder;
+        this.attempts = attempts;
+        this.openRequests = openRequests;
+        this.healthChecks = healthChecks;
+    }
+
+    /** Takes every step that is due for the group, after any event that concerns it. */
+    void dispatch(EndpointGroup group, long now, RoutingActions actions) {
+        attempts.checkLongRunning(group, now, actions);
+        servingOrder.forEach(classIndex -> dispatchQueue(group, classIndex, true, now, actions));
+        servingOrder.forEach(classIndex -> dispatchQueue(group, classIndex, false, now, actions));
+        healthChecks.checkForQueued(group, now, actions);
+        scheduleTimer(group, now, actions);
+    }
+
+    /** Serves the requests of a class that can still meet their latency objective, or those that can't. */
+    private void dispatchQueue(
+            EndpointGroup group, int classIndex, boolean meetingObjective, long now, RoutingActions actions) {
+        boolean blocked = false;
+        Iterator<PendingRequest> queue = group.queue(classIndex).iterator();
+        while (queue.hasNext()) {
+            PendingRequest request = queue.next();
+            if (request.isAnswered()) {
+                queue.remove();
+            } else if (loadShedder.isTooLate(request, now) || !group.hasAvailableEndpoint()) {
+                queue.remove();
+                openRequests.finishUnserved(request, actions);
+            } else if (!blocked && meetingObjective == loadShedder.canMeetObjective(request, now)) {
+                EndpointState endpoint = selector.select(request, now);
+                if (endpoint != null) {
+                    queue.remove();
+                    attempts.start(request, endpoint, now, actions);
+                }
+                blocked = endpoint == null && request.needsPrimary();
+            }
+        }
+    }
+
+    /** Sets a timer for the next moment at which a step is due, unless an earlier one is set. */
+    private void scheduleTimer(EndpointGroup group, long now, RoutingActions actions) {
+        long due = group.hasQueuedRequests() ? now + QUEUE_CHECK_INTERVAL_MICROS : Long.MAX_VALUE;
+        for (PendingRequest request : group.inFlight().values()) {
+            due = Math.min(due, request.nextCheckAt());
+        }
+        if (group.needsTimer(due)) {
+            long timerDue = Math.max(due, now + MIN_TIMER_MICROS);
+            group.setTimer(timerDue);
+            actions.scheduleTimer(timerDue - now, Router.groupTimerId(group));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/crankwick/routing/WeightedSelection.java
@@ -0,0 +1,52 @@
+package crankwick.routing;
+
+import crankwick.routing.api.RoutingSettings;
+import java.util.SplittableRandom;
+import java.util.function.Predicate;
+
+/** Weighted random selection among the replicas of a group. */
+final class WeightedSelection {
+    /** The weight falls with this power of the cost; 1 leaves the queues too uneven. */
+    private static final double COST_EXPONENT = 2;
+    /** Scales the price of crossing zones to a factor on the cost. */
+    private static final double CROSS_ZONE_PENALTY = 50;
+    /** Factor on the weight of an endpoint that the request has attempted before. */
+    private static final double RETRY_PENALTY = 0.01;
+    /** Keeps every weight above zero. */
+    private static final double MIN_WEIGHT = 1e-12;
+
+    private final RoutingSettings settings;
+    private final LatencyEstimates latency;
+    private final SplittableRandom random;
+
+    WeightedSelection(RoutingSettings settings, LatencyEstimates latency, SplittableRandom random) {
+        this.settings = settings;
+        this.latency = latency;
+        this.random = random;
+    }
+
+    /** Selects one of the group's replicas that are eligible, or null; takes one draw for each of these. */
+    EndpointState selectReplica(PendingRequest request, Predicate<EndpointState> eligible, long now) {
+        EndpointState selected = null;
+        double total = 0;
+        for (EndpointState endpoint : request.group().endpoints()) {
+            if (request.group().isReplica(endpoint) && eligible.test(endpoint)) {
+                double weight = weight(endpoint, now) * (request.hasAttempted(endpoint) ? RETRY_PENALTY : 1);
+                total += weight;
+                selected = random.nextDouble() * total < weight ? endpoint : selected;
+            }
+        }
+        return selected;
+    }
+
+    private double weight(EndpointState endpoint, long now) {
+        double cost = latency.expectedRatio(endpoint, now)
+                * (endpoint.concurrency().inFlight() + 1)
+                / endpoint.slowStart().capacityFraction(now);
+        if (endpoint.zone() != settings.zone()) {
+            cost *= 1 + CROSS_ZONE_PENALTY * settings.costs().crossZone();
+        }
+        double reliability = endpoint.outlier().reliability(now);
+        return Math.pow(cost, -COST_EXPONENT) * reliability * reliability + MIN_WEIGHT;
+    }
+}
--- a/src/test/java/crankwick/routing/EstimatesTest.java
+++ b/src/test/java/crankwick/routing/EstimatesTest.java
@@ -22,7 +22,7 @@
     void meanMovesByItsGainAndRestsAgain() {
         FadingMean mean = new FadingMean(0.5, 2, 1_000);
         assertEquals(2, mean.at(5_000));
-        mean.learn(4, 5_000);
+        mean.add(4, 5_000);
         assertEquals(3, mean.at(5_000));
         assertEquals(2.5, mean.at(5_500));
         assertEquals(2, mean.at(7_000));
@@ -32,7 +32,7 @@
     void quantileSettlesWhereItsShareOfSamplesLiesBelow() {
         QuantileEstimate estimate = new QuantileEstimate(0.01, 0.3, 50);
         for (int i = 0; i < 20_000; i++) {
-            estimate.learn(i * 37 % 100);
+            estimate.add(i * 37 % 100);
         }
         assertEquals(30, estimate.value(), 2);
     }
@@ -52,11 +52,11 @@
     void forgottenSessionsMustSeeTheNewestPositionForgotten() {
         SessionTokenStore positions = new SessionTokenStore();
         assertEquals(Long.MIN_VALUE, positions.get(1));
-        positions.remember(1, 70);
-        positions.remember(1, 50);
+        positions.put(1, 70);
+        positions.put(1, 50);
         assertEquals(70, positions.get(1));
         for (int session = 2; session <= 20_001; session++) {
-            positions.remember(session, 100 + session);
+            positions.put(session, 100 + session);
         }
         assertEquals(70, positions.get(1));
         assertEquals(102, positions.get(2));
--- a/src/test/java/crankwick/routing/PrimaryTest.java
+++ b/src/test/java/crankwick/routing/PrimaryTest.java
@@ -68,7 +68,7 @@
                 rig.outcome(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(rig.actions.contains("log p ejected: fails"));
+        assertTrue(rig.actions.contains("log p ejected: failure rate"));
         long held = rig.request(RouterTestHarness.WRITE);
         assertNull(rig.sentTo(held));
         rig.answers("p", Role.PRIMARY);
@@ -88,7 +88,7 @@
                 rig.outcome(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(rig.actions.contains("log p ejected: fails"));
+        assertTrue(rig.actions.contains("log p ejected: failure rate"));
         rig.advance(MS);
         rig.change("p", EndpointStatus.LIVE, rig.now - 20_000 * MS);
         rig.report("p", Role.PRIMARY, rig.now);
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -176,7 +176,7 @@
         long read = rig.request(RouterTestHarness.ANY);
         rig.outcome(read, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         rig.report("r1", Role.REPLICA, rig.now);
-        assertTrue(rig.actions.contains("log r1 answers again, taken as cold"));
+        assertTrue(rig.actions.contains("log r1 responds again, slow start"));
     }
 
     @Test
@@ -274,7 +274,7 @@
                 rig.outcome(id, AttemptResult.ERROR, Role.REPLICA, AbsentValue.NONE);
             }
         }
-        assertTrue(rig.actions.contains("log r1 ejected: fails"));
+        assertTrue(rig.actions.contains("log r1 ejected: failure rate"));
         rig.ok(earlier);
         assertFalse(rig.actions.contains("log r1 readmitted"));
         rig.advance(600 * MS);
