--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 	.ci/run
 
 lint:
-	mvn -B -ntp -DskipTests test-compile spotless:check
+	mvn -B -ntp -DskipTests test-compile spotless:check pmd:check
 
 run:
 	$(if $(CONFIG),ROUTER_CONFIG=$(CONFIG)) java $(JAVA_OPTIONS) -jar target/crankwick.jar serve $(OPERATOR)
