--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -136,7 +136,8 @@
     /** Serves on while clients may still come, then answers what is owed. */
     void beginClose() {
         long latest = clock.now() + timeToEnd();
-        loop.execute(() -> LOG.info("{} told to end, {} requests open: {}", wire.name(), broker.owed(), allCounters()));
+        loop.execute(() -> LOG.info(
+                "{} told to end, {} requests open: {}", wire.name(), broker.unansweredRequests(), allCounters()));
         loop.after(Math.min(LINGER, timeToEnd() / 2), () -> {
             front.close(latest - LAST_ANSWERS_BEFORE_END);
             awaitEnd(latest);
@@ -151,8 +152,8 @@
             Thread.currentThread().interrupt();
         }
         LOG.info("{} counters: {}", wire.name(), allCounters());
-        if (broker.handover() != null) {
-            LOG.info("{} handover: {}", wire.name(), broker.handover().counters());
+        if (broker.failover() != null) {
+            LOG.info("{} handover: {}", wire.name(), broker.failover().counters());
         }
     }
 
@@ -170,9 +171,9 @@
     }
 
     private void awaitEnd(long latest) {
-        if (front.isEmpty() && broker.owed() == 0 || clock.now() > latest) {
-            if (broker.owed() > 0 || !front.isEmpty()) {
-                LOG.warn("{} ends with {} requests not answered", wire.name(), broker.owed());
+        if (front.isEmpty() && broker.unansweredRequests() == 0 || clock.now() > latest) {
+            if (broker.unansweredRequests() > 0 || !front.isEmpty()) {
+                LOG.warn("{} ends with {} requests not answered", wire.name(), broker.unansweredRequests());
             }
             if (discovery != null) {
                 discovery.close();
--- a/src/main/java/crankwick/broker/Broker.java
+++ b/src/main/java/crankwick/broker/Broker.java
@@ -97,7 +97,7 @@
     private final BrokerCounters counters = new BrokerCounters();
     private final RequestHistoryLog historyLog = new RequestHistoryLog();
     /** Null where changes of primaries are left to the router alone. */
-    private final FailoverCoordinator handover;
+    private final FailoverCoordinator failover;
 
     private final FailoverCoordinator.FailoverActions decisions = new HandoverDecisions();
     private List<Effect> effects = new ArrayList<>();
@@ -111,7 +111,7 @@
         this.settings = settings;
         this.contracts = Map.copyOf(contracts);
         router = new Router(settings, seed);
-        handover = changes == null ? null : new FailoverCoordinator(changes, settings, seed);
+        failover = changes == null ? null : new FailoverCoordinator(changes, settings, seed);
     }
 
     /** Takes one event at the caller's time; the effects are to be carried out in order. */
@@ -136,18 +136,18 @@
             toRouter.add(new TimerFired(e.timerId()));
         } else if (event instanceof BrokerEvent.HealthCheckEnded e) {
             LoadReport report = believed(e.report());
-            if (handover != null) {
-                group = handover.groupOf(e.endpointId());
-                report = handover.probed(e.endpointId(), e.result(), e.duration(), report, now);
+            if (failover != null) {
+                group = failover.groupOf(e.endpointId());
+                report = failover.probed(e.endpointId(), e.result(), e.duration(), report, now);
             }
             toRouter.add(new HealthCheckResult(e.endpointId(), e.result(), e.duration(), report));
         } else if (event instanceof BrokerEvent.EndpointsUpdated e) {
             toRouter.add(new EndpointUpdate(
-                    e.kind(), handover == null ? e.endpoints() : handover.listed(e.kind(), e.endpoints(), now)));
+                    e.kind(), failover == null ? e.endpoints() : failover.listed(e.kind(), e.endpoints(), now)));
             recallFrom(e);
         }
         tellRouter();
-        if (handover != null) {
+        if (failover != null) {
             decideChanges(event, group);
             tellRouter();
         }
@@ -162,21 +162,21 @@
 
     private void decideChanges(BrokerEvent event, long group) {
         if (event instanceof BrokerEvent.FailoverTimerFired) {
-            handover.onDue(now, decisions);
+            failover.onDue(now, decisions);
         } else if (event instanceof BrokerEvent.EndpointsUpdated) {
-            handover.decideAll(now, decisions);
+            failover.decideAll(now, decisions);
         } else if (group != AbsentValue.NONE) {
-            handover.decide(group, now, decisions);
+            failover.decide(group, now, decisions);
         }
     }
 
     /** What is known of changes of primaries; null where they are left to the router alone. */
-    public FailoverCoordinator handover() {
-        return handover;
+    public FailoverCoordinator failover() {
+        return failover;
     }
 
     /** Requests that are still owed an answer. */
-    public long owed() {
+    public long unansweredRequests() {
         return lives.values().stream().filter(life -> !life.answered).count();
     }
 
@@ -198,9 +198,9 @@
         }
         long wait = contract.maxTimeout() > 0 ? Math.min(call.timeout(), contract.maxTimeout()) : call.timeout();
         Life life = new Life(call, account, now + wait, new RequestHistory(call, now));
-        FailoverCoordinator.Admission admission = handover == null
+        FailoverCoordinator.Admission admission = failover == null
                 ? FailoverCoordinator.Admission.ADMIT
-                : handover.admit(
+                : failover.admit(
                         new FailoverCoordinator.ArrivingRequest(
                                 call.requestId(),
                                 call.groupId(),
@@ -228,7 +228,7 @@
     }
 
     private Reply noPrimary(ClientRequest call) {
-        return new Reply.Rejected(Reply.Reason.NO_PRIMARY, handover.retryAfter(call.groupId(), call.classIndex(), now));
+        return new Reply.Rejected(Reply.Reason.NO_PRIMARY, failover.retryAfter(call.groupId(), call.classIndex(), now));
     }
 
     private void request(Life life) {
@@ -314,10 +314,10 @@
         Role role = e.role();
         LoadReport report = believed(e.report());
         boolean write = settings.requestClasses().get(life.call.classIndex()).consistency() == ConsistencyLevel.WRITE;
-        if (handover != null) {
-            role = handover.heard(life.server, write, life.sentAt, e.result(), role, believed(e.position()), now);
-            report = handover.believed(life.server, report, now);
-            handover.ended(e.requestId(), e.result(), e.duration(), now);
+        if (failover != null) {
+            role = failover.heard(life.server, write, life.sentAt, e.result(), role, believed(e.position()), now);
+            report = failover.believed(life.server, report, now);
+            failover.ended(e.requestId(), e.result(), e.duration(), now);
         }
         if (e.result() == AttemptResult.OK) {
             answer(life, new Reply.Served(e.value(), write, believed(e.position())));
@@ -373,7 +373,7 @@
             tellRouter();
         }
         if (!life.answered) {
-            boolean harmless = life.held && !handover.isDoubtful(ref);
+            boolean harmless = life.held && !failover.isDoubtful(ref);
             answer(life, harmless ? noPrimary(life.call) : new Reply.Failed(Reply.Reason.NO_OUTCOME));
             toRouter.add(new RequestAbandoned(ref));
             forget(life);
@@ -408,9 +408,9 @@
             reportNotSent(life, attempt, server, life.answered);
             return;
         }
-        FailoverCoordinator.AttemptPermit going = handover == null
+        FailoverCoordinator.AttemptPermit going = failover == null
                 ? FailoverCoordinator.AttemptPermit.GRANTED
-                : handover.send(life.call.requestId(), server, now);
+                : failover.send(life.call.requestId(), server, now);
         if (going != FailoverCoordinator.AttemptPermit.GRANTED) {
             answer(
                     life,
@@ -465,8 +465,8 @@
     private void settled(Life life) {
         life.answered = true;
         life.account.outstanding--;
-        if (handover != null) {
-            handover.answered(life.call.requestId());
+        if (failover != null) {
+            failover.answered(life.call.requestId());
         }
     }
 
@@ -503,7 +503,7 @@
 
         @Override
         public void reject(long id, long retryAfter) {
-            boolean doubtful = handover != null && handover.isDoubtful(id);
+            boolean doubtful = failover != null && failover.isDoubtful(id);
             close(
                     id,
                     doubtful
--- a/src/main/java/crankwick/failover/FailoverCoordinator.java
+++ b/src/main/java/crankwick/failover/FailoverCoordinator.java
@@ -155,7 +155,7 @@
     private final Map<String, RequestBuffer.TeamUsage> shares = new HashMap<>();
     private final FailoverCounters counters = new FailoverCounters();
     private boolean armed;
-    private int held;
+    private int bufferedRequests;
 
     /** Holds and remembers as {@code settings} say; {@code seed} scatters the keys' names. */
     public FailoverCoordinator(FailoverSettings settings, RoutingSettings site, long seed) {
@@ -321,7 +321,7 @@
         if (wait) {
             t.held = true;
             counters.held++;
-            counters.heldMax = Math.max(counters.heldMax, ++held);
+            counters.maxBuffered = Math.max(counters.maxBuffered, ++bufferedRequests);
             return Admission.BUFFER;
         }
         g.passed.put(a.requestId(), t);
@@ -417,7 +417,7 @@
     private void unhold(Tracked t) {
         t.group.queue.remove(t.arrival.requestId());
         t.held = false;
-        held--;
+        bufferedRequests--;
     }
 
     private boolean hopeful(Tracked t, long now) {
@@ -550,8 +550,8 @@
     }
 
     /** Requests held now, over all groups. */
-    public int held() {
-        return held;
+    public int bufferedRequests() {
+        return bufferedRequests;
     }
 
     /** Keys remembered now. */
--- a/src/main/java/crankwick/failover/FailoverCounters.java
+++ b/src/main/java/crankwick/failover/FailoverCounters.java
@@ -4,7 +4,7 @@
 public final class FailoverCounters {
     long changes;
     long held;
-    int heldMax;
+    int maxBuffered;
     long released;
     long hopeless;
     long overBounds;
@@ -23,14 +23,14 @@
     }
 
     /** The most requests that were held at once. */
-    public int heldMax() {
-        return heldMax;
+    public int maxBuffered() {
+        return maxBuffered;
     }
 
     /** One line for the operators. */
     @Override
     public String toString() {
-        return "changes=" + changes + " held=" + held + " held_max=" + heldMax + " released=" + released
+        return "changes=" + changes + " held=" + held + " held_max=" + maxBuffered + " released=" + released
                 + " hopeless=" + hopeless + " over_bounds=" + overBounds + " withdrawn=" + withdrawn
                 + " windows_over=" + windowsOver + " retries_failed=" + retriesFailed;
     }
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -195,7 +195,7 @@
         long latest = START + RUN_MOST * options.failovers() / options.groups() + RUN_MOST;
         while (audit.failovers() < options.failovers() && time.now() < latest && time.step()) {
             heldMax = Math.max(
-                    heldMax, broker.handover() == null ? 0 : broker.handover().held());
+                    heldMax, broker.failover() == null ? 0 : broker.failover().bufferedRequests());
         }
         ending = true;
         long rest = time.now() + 10 * SECOND;
@@ -334,7 +334,7 @@
 
     private void tell(BrokerEvent event) {
         FailoverCounters counters =
-                broker.handover() == null ? null : broker.handover().counters();
+                broker.failover() == null ? null : broker.failover().counters();
         long changesBefore = counters == null ? 0 : counters.changes();
         long releasedBefore = counters == null ? 0 : counters.released();
         List<Effect> effects = broker.reduce(event, time.now());
@@ -352,7 +352,7 @@
             Wish wish = wishes.get(e.requestId());
             network.send(e, wish.key(), wish.mustSee());
             if (options.fault() == Fault.HELD_SENT_TWICE
-                    && broker.handover().counters().released() > 0) {
+                    && broker.failover().counters().released() > 0) {
                 audit.sent(time.now(), e.requestId(), e.endpointId());
             }
         } else if (effect instanceof Effect.SendReply e) {
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -123,7 +123,7 @@
     /** Requests that are still owed an answer. */
     long owed() throws InterruptedException {
         AtomicLong owed = new AtomicLong();
-        onLoop(() -> owed.set(broker.owed()));
+        onLoop(() -> owed.set(broker.unansweredRequests()));
         return owed.get();
     }
 
--- a/src/test/java/crankwick/broker/BrokerFailoverTest.java
+++ b/src/test/java/crankwick/broker/BrokerFailoverTest.java
@@ -146,7 +146,7 @@
         assertEquals(answer(hopeless), Reply.Reason.NO_PRIMARY);
         assertTrue(((Reply.Rejected) answers.get(hopeless)).retryAfter() > 0);
         assertEquals(sent(hopeless), 0);
-        assertEquals(broker.handover().held(), 0);
+        assertEquals(broker.failover().bufferedRequests(), 0);
     }
 
     @Test
@@ -157,11 +157,13 @@
         for (int i = 0; i < 20; i++) {
             held.add(write("k" + i, 3_000 * MS));
         }
-        assertTrue(broker.handover().held() >= 18, "" + broker.handover().held());
+        assertTrue(
+                broker.failover().bufferedRequests() >= 18,
+                "" + broker.failover().bufferedRequests());
         assertTrue(held.stream().allMatch(ref -> sent(ref) == 0));
         advance(1_500 * MS);
         report("b", Role.PRIMARY);
-        assertEquals(broker.handover().leadership(1).leader(), "b");
+        assertEquals(broker.failover().leadership(1).leader(), "b");
         int most = 0;
         for (int i = 0; i < 200 && answers.size() < 21; i++) {
             List<Effect.SendAttempt> out = sends.stream()
@@ -285,11 +287,11 @@
         loseA();
         advance(2_500 * MS);
         write("scout", 3_000 * MS);
-        int before = broker.handover().held();
+        int before = broker.failover().bufferedRequests();
         long held = write("k", 3_000 * MS);
-        assertEquals(broker.handover().held(), before + 1);
+        assertEquals(broker.failover().bufferedRequests(), before + 1);
         tell(new BrokerEvent.RequestAbandoned(held, AbandonReason.CLOSED));
-        assertEquals(broker.handover().held(), before);
+        assertEquals(broker.failover().bufferedRequests(), before);
         assertNull(answers.get(held));
     }
 }
