--- a/src/main/java/crankwick/broker/Broker.java
+++ b/src/main/java/crankwick/broker/Broker.java
@@ -1,5 +1,10 @@
 package crankwick.broker;
 
+import crankwick.failover.ArrivingRequest;
+import crankwick.failover.AttemptObservation;
+import crankwick.failover.AttemptPermit;
+import crankwick.failover.FailoverActions;
+import crankwick.failover.FailoverAdmission;
 import crankwick.failover.FailoverCoordinator;
 import crankwick.failover.FailoverSettings;
 import crankwick.routing.Router;
@@ -99,7 +104,7 @@
     /** Null where changes of primaries are left to the router alone. */
     private final FailoverCoordinator failover;
 
-    private final FailoverCoordinator.FailoverActions decisions = new HandoverDecisions();
+    private final FailoverActions decisions = new HandoverDecisions();
     private List<Effect> effects = new ArrayList<>();
     private long now;
 
@@ -137,13 +142,14 @@
         } else if (event instanceof BrokerEvent.HealthCheckEnded e) {
             LoadReport report = believed(e.report());
             if (failover != null) {
-                group = failover.groupOf(e.endpointId());
-                report = failover.probed(e.endpointId(), e.result(), e.duration(), report, now);
+                group = failover.groupIdOf(e.endpointId());
+                report = failover.onHealthCheckEnded(e.endpointId(), e.result(), e.duration(), report, now);
             }
             toRouter.add(new HealthCheckResult(e.endpointId(), e.result(), e.duration(), report));
         } else if (event instanceof BrokerEvent.EndpointsUpdated e) {
             toRouter.add(new EndpointUpdate(
-                    e.kind(), failover == null ? e.endpoints() : failover.listed(e.kind(), e.endpoints(), now)));
+                    e.kind(),
+                    failover == null ? e.endpoints() : failover.onEndpointsUpdated(e.kind(), e.endpoints(), now)));
             recallFrom(e);
         }
         tellRouter();
@@ -162,7 +168,7 @@
 
     private void decideChanges(BrokerEvent event, long group) {
         if (event instanceof BrokerEvent.FailoverTimerFired) {
-            failover.onDue(now, decisions);
+            failover.onTimer(now, decisions);
         } else if (event instanceof BrokerEvent.EndpointsUpdated) {
             failover.decideAll(now, decisions);
         } else if (group != AbsentValue.NONE) {
@@ -198,10 +204,10 @@
         }
         long wait = contract.maxTimeout() > 0 ? Math.min(call.timeout(), contract.maxTimeout()) : call.timeout();
         Life life = new Life(call, account, now + wait, new RequestHistory(call, now));
-        FailoverCoordinator.Admission admission = failover == null
-                ? FailoverCoordinator.Admission.ADMIT
+        FailoverAdmission admission = failover == null
+                ? FailoverAdmission.ADMIT
                 : failover.admit(
-                        new FailoverCoordinator.ArrivingRequest(
+                        new ArrivingRequest(
                                 call.requestId(),
                                 call.groupId(),
                                 call.team(),
@@ -210,14 +216,14 @@
                                 call.statementBytes(),
                                 life.expires),
                         now);
-        if (admission == FailoverCoordinator.Admission.REJECT) {
+        if (admission == FailoverAdmission.REJECT) {
             reply(call.requestId(), noPrimary(call));
             return;
-        } else if (admission == FailoverCoordinator.Admission.FAIL) {
+        } else if (admission == FailoverAdmission.FAIL) {
             reply(call.requestId(), new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
             return;
         }
-        life.held = admission == FailoverCoordinator.Admission.BUFFER;
+        life.held = admission == FailoverAdmission.BUFFER;
         lives.put(call.requestId(), life);
         ids.add(call.clientRequestId());
         account.outstanding++;
@@ -315,9 +321,11 @@
         LoadReport report = believed(e.report());
         boolean write = settings.requestClasses().get(life.call.classIndex()).consistency() == ConsistencyLevel.WRITE;
         if (failover != null) {
-            role = failover.heard(life.server, write, life.sentAt, e.result(), role, believed(e.position()), now);
-            report = failover.believed(life.server, report, now);
-            failover.ended(e.requestId(), e.result(), e.duration(), now);
+            role = failover.onAttemptObserved(
+                    new AttemptObservation(life.server, write, life.sentAt, e.result(), role, believed(e.position())),
+                    now);
+            report = failover.onLoadReport(life.server, report, now);
+            failover.onAttemptEnded(e.requestId(), e.result(), e.duration(), now);
         }
         if (e.result() == AttemptResult.OK) {
             answer(life, new Reply.Served(e.value(), write, believed(e.position())));
@@ -373,7 +381,7 @@
             tellRouter();
         }
         if (!life.answered) {
-            boolean harmless = life.held && !failover.isDoubtful(ref);
+            boolean harmless = life.held && !failover.hasUnknownOutcome(ref);
             answer(life, harmless ? noPrimary(life.call) : new Reply.Failed(Reply.Reason.NO_OUTCOME));
             toRouter.add(new RequestAbandoned(ref));
             forget(life);
@@ -408,13 +416,12 @@
             reportNotSent(life, attempt, server, life.answered);
             return;
         }
-        FailoverCoordinator.AttemptPermit going = failover == null
-                ? FailoverCoordinator.AttemptPermit.GRANTED
-                : failover.send(life.call.requestId(), server, now);
-        if (going != FailoverCoordinator.AttemptPermit.GRANTED) {
+        AttemptPermit going =
+                failover == null ? AttemptPermit.GRANTED : failover.permitAttempt(life.call.requestId(), server, now);
+        if (going != AttemptPermit.GRANTED) {
             answer(
                     life,
-                    going == FailoverCoordinator.AttemptPermit.KEY_EXPIRED
+                    going == AttemptPermit.KEY_EXPIRED
                             ? new Reply.Failed(Reply.Reason.KEY_IN_DOUBT)
                             : new Reply.Rejected(
                                     Reply.Reason.OVER_KEYS,
@@ -466,7 +473,7 @@
         life.answered = true;
         life.account.outstanding--;
         if (failover != null) {
-            failover.answered(life.call.requestId());
+            failover.onAnswered(life.call.requestId());
         }
     }
 
@@ -503,7 +510,7 @@
 
         @Override
         public void reject(long id, long retryAfter) {
-            boolean doubtful = failover != null && failover.isDoubtful(id);
+            boolean doubtful = failover != null && failover.hasUnknownOutcome(id);
             close(
                     id,
                     doubtful
@@ -560,7 +567,7 @@
     }
 
     /** What follows of changes of primaries becomes events for the router, and effects. */
-    private final class HandoverDecisions implements FailoverCoordinator.FailoverActions {
+    private final class HandoverDecisions implements FailoverActions {
         @Override
         public void release(long ref) {
             Life life = lives.get(ref);
--- /dev/null
+++ b/src/main/java/crankwick/failover/EvidenceFilter.java
@@ -0,0 +1,144 @@
+package crankwick.failover;
+
+import crankwick.routing.api.AbsentValue;
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.Endpoint;
+import crankwick.routing.api.EndpointStatus;
+import crankwick.routing.api.EndpointUpdateKind;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Turns what endpoints, connections and the endpoint list report into {@link LeadershipEvidence}, and passes on
+ * only those roles that the groups' leadership bears out; any other becomes UNKNOWN.
+ */
+final class EvidenceFilter {
+    /** A connection that fails within this share of the connect timeout was refused, not left without an answer. */
+    private static final double IMMEDIATE_REFUSAL_SHARE = 0.8;
+
+    private final GroupRegistry groups;
+    private final long connectTimeout;
+
+    EvidenceFilter(GroupRegistry groups, long connectTimeout) {
+        this.groups = groups;
+        this.connectTimeout = connectTimeout;
+    }
+
+    /** The endpoint list; where a group has a leader that spoke for itself, the list names none. */
+    List<Endpoint> filterEndpoints(EndpointUpdateKind kind, List<Endpoint> endpoints, long now) {
+        if (kind == EndpointUpdateKind.FULL) {
+            groups.missingFrom(endpoints).forEach((endpointId, group) -> {
+                group.leadership().observe(new LeadershipEvidence.Delisted(endpointId), now);
+                groups.removeEndpoint(endpointId, group);
+            });
+        }
+        List<Endpoint> filtered = new ArrayList<>(endpoints.size());
+        for (Endpoint endpoint : endpoints) {
+            filtered.add(filterEndpoint(endpoint, now));
+        }
+        return filtered;
+    }
+
+    private Endpoint filterEndpoint(Endpoint endpoint, long now) {
+        GroupState group = groups.groupOfListed(endpoint);
+        if (group == null) {
+            return endpoint;
+        }
+        if (endpoint.status() == EndpointStatus.LIVE) {
+            group.leadership().observe(new LeadershipEvidence.ListedAsUp(endpoint.id()), now);
+        } else {
+            group.leadership().observe(new LeadershipEvidence.Delisted(endpoint.id()), now);
+            if (endpoint.status() == EndpointStatus.REMOVED) {
+                groups.removeEndpoint(endpoint.id(), group);
+            }
+        }
+        boolean outdated = endpoint.role() == Role.PRIMARY && group.leadership().leader() != null;
+        return outdated ? withUnknownRole(endpoint) : endpoint;
+    }
+
+    private static Endpoint withUnknownRole(Endpoint e) {
+        return new Endpoint(e.id(), e.zone(), e.groupId(), Role.UNKNOWN, e.status(), e.startedAt());
+    }
+
+    /**
+     * The role that an attempt's end reports, or UNKNOWN where it is outdated. A report is dated by the sending
+     * of its attempt: the answer may have been long on its way.
+     */
+    Role filterRole(AttemptObservation attempt, long now) {
+        GroupState group = groups.groupOf(attempt.endpointId());
+        if (group == null) {
+            return attempt.role();
+        }
+        observeResult(group, attempt, now);
+        if (attempt.role() == Role.UNKNOWN) {
+            return Role.UNKNOWN;
+        }
+        LeadershipEvidence.RoleReported reported = new LeadershipEvidence.RoleReported(
+                attempt.endpointId(), attempt.role(), attempt.position(), attempt.sentAt());
+        if (!group.leadership().observe(reported, now)) {
+            return Role.UNKNOWN;
+        }
+        if (attempt.write() && attempt.result() == AttemptResult.OK) {
+            group.leadership().writeServed(reported, now);
+        }
+        return attempt.role();
+    }
+
+    private void observeResult(GroupState group, AttemptObservation attempt, long now) {
+        String endpointId = attempt.endpointId();
+        AttemptResult result = attempt.result();
+        if (result == AttemptResult.INELIGIBLE_REPLICA && attempt.write()) {
+            group.leadership().observe(new LeadershipEvidence.WriteRejected(endpointId, attempt.sentAt()), now);
+        } else if (result == AttemptResult.UNREACHABLE) {
+            observeUnreachable(group, endpointId, attempt.sentAt(), now);
+        } else if (result == AttemptResult.RESET || result == AttemptResult.CONNECTION_LOST_BEFORE_SEND) {
+            group.leadership().observe(new LeadershipEvidence.ConnectionLost(endpointId), now);
+        }
+    }
+
+    private void observeUnreachable(GroupState group, String endpointId, long sentAt, long now) {
+        boolean refused = now - sentAt < connectTimeout * IMMEDIATE_REFUSAL_SHARE;
+        group.leadership()
+                .observe(
+                        refused
+                                ? new LeadershipEvidence.ConnectionRefused(endpointId)
+                                : new LeadershipEvidence.Unresponsive(endpointId, sentAt),
+                        now);
+    }
+
+    /** A health check's report, with its role UNKNOWN where that is outdated. */
+    LoadReport filterHealthCheck(String endpointId, AttemptResult result, long duration, LoadReport report, long now) {
+        GroupState group = groups.groupOf(endpointId);
+        if (group == null) {
+            return report;
+        }
+        if (result == AttemptResult.UNREACHABLE) {
+            observeUnreachable(group, endpointId, now - duration, now);
+        } else if (result == AttemptResult.TIMEOUT) {
+            group.leadership().observe(new LeadershipEvidence.Unresponsive(endpointId, now - duration), now);
+        }
+        return filterReport(group, endpointId, report, now);
+    }
+
+    /** A load report, with its role UNKNOWN where that is outdated. */
+    LoadReport filterReport(String endpointId, LoadReport report, long now) {
+        GroupState group = groups.groupOf(endpointId);
+        return group == null ? report : filterReport(group, endpointId, report, now);
+    }
+
+    /** A report is dated by its position: a primary's is the present, a replica's lies before it. */
+    private LoadReport filterReport(GroupState group, String endpointId, LoadReport report, long now) {
+        if (report == null || report.role() == Role.UNKNOWN || report.position() == AbsentValue.NONE) {
+            return report;
+        }
+        LeadershipEvidence.RoleReported reported =
+                new LeadershipEvidence.RoleReported(endpointId, report.role(), report.position(), report.position());
+        return group.leadership().observe(reported, now) ? report : withUnknownRole(report);
+    }
+
+    private static LoadReport withUnknownRole(LoadReport r) {
+        return new LoadReport(r.position(), Role.UNKNOWN, r.queueLength(), r.utilization(), r.inFlight());
+    }
+}
--- a/src/main/java/crankwick/failover/FailoverCounters.java
+++ b/src/main/java/crankwick/failover/FailoverCounters.java
@@ -1,28 +1,28 @@
 package crankwick.failover;
 
-/** What changes of primaries have cost since the start. */
+/** What failovers have cost since the start. */
 public final class FailoverCounters {
-    long changes;
-    long held;
+    long failovers;
+    long buffered;
     int maxBuffered;
     long released;
-    long hopeless;
-    long overBounds;
-    long withdrawn;
-    long windowsOver;
+    long recoveryUnlikely;
+    long limitExceeded;
+    long attemptsCancelled;
+    long keyWindowsExpired;
     long retriesFailed;
 
-    /** Changes of a leader that was known before. */
-    public long changes() {
-        return changes;
+    /** Failovers of groups whose leader was known before. */
+    public long failovers() {
+        return failovers;
     }
 
-    /** Held requests that were let go to the router. */
+    /** Buffered requests that were released to the router. */
     public long released() {
         return released;
     }
 
-    /** The most requests that were held at once. */
+    /** The most requests that were buffered at once. */
     public int maxBuffered() {
         return maxBuffered;
     }
@@ -30,8 +30,8 @@
     /** One line for the operators. */
     @Override
     public String toString() {
-        return "changes=" + changes + " held=" + held + " held_max=" + maxBuffered + " released=" + released
-                + " hopeless=" + hopeless + " over_bounds=" + overBounds + " withdrawn=" + withdrawn
-                + " windows_over=" + windowsOver + " retries_failed=" + retriesFailed;
+        return "changes=" + failovers + " held=" + buffered + " held_max=" + maxBuffered + " released=" + released
+                + " hopeless=" + recoveryUnlikely + " over_bounds=" + limitExceeded + " withdrawn=" + attemptsCancelled
+                + " windows_over=" + keyWindowsExpired + " retries_failed=" + retriesFailed;
     }
 }
--- a/src/main/java/crankwick/failover/FailoverDurations.java
+++ b/src/main/java/crankwick/failover/FailoverDurations.java
@@ -3,53 +3,53 @@
 import java.util.Arrays;
 
 /**
- * How long a group's changes of one kind take: the last {@value #KEPT} seen, and a prior that counts as
- * {@value #PRIOR} of them, spread evenly over what the settings expect. Durations in microseconds.
+ * How long a group's failovers of one kind take: the last {@value #MAX_SAMPLES} observed, and a prior that counts as
+ * {@value #PRIOR_SAMPLES} of them, spread evenly over what the settings expect. Durations in microseconds.
  */
 final class FailoverDurations {
-    private static final int KEPT = 64;
-    private static final int PRIOR = 16;
-    /** Each duration stands for all that are so near: few samples must not leave holes between them. */
-    private static final long BLUR = 250_000;
+    private static final int MAX_SAMPLES = 64;
+    private static final int PRIOR_SAMPLES = 16;
+    /** Each sample stands for all durations that are so near: few samples must not leave gaps between them. */
+    private static final long SAMPLE_SPREAD_MICROS = 250_000;
 
-    private final long[] samples = new long[PRIOR + KEPT];
-    private long seen;
+    private final long[] samples = new long[PRIOR_SAMPLES + MAX_SAMPLES];
+    private long observed;
 
-    FailoverDurations(long least, long most) {
-        for (int i = 0; i < PRIOR; i++) {
-            samples[i] = least + (most - least) * i / (PRIOR - 1);
+    FailoverDurations(long min, long max) {
+        for (int i = 0; i < PRIOR_SAMPLES; i++) {
+            samples[i] = min + (max - min) * i / (PRIOR_SAMPLES - 1);
         }
     }
 
-    /** A change has taken so long. */
+    /** A failover has taken so long. */
     void add(long duration) {
-        samples[PRIOR + (int) (seen++ % KEPT)] = duration;
+        samples[PRIOR_SAMPLES + (int) (observed++ % MAX_SAMPLES)] = duration;
     }
 
     private int count() {
-        return PRIOR + (int) Math.min(seen, KEPT);
+        return PRIOR_SAMPLES + (int) Math.min(observed, MAX_SAMPLES);
     }
 
     /**
-     * The chance that a change which has lasted for {@code age} ends within {@code left} more. One that has
-     * outlasted all that were seen is taken to go on about as long as it has lasted (Gott's estimate).
+     * The probability that a failover which has lasted for {@code age} ends within {@code remaining} more. One that
+     * has outlasted all samples is expected to go on about as long as it has lasted (Gott's estimate).
      */
-    double successProbability(long age, long left) {
-        if (left <= 0) {
+    double successProbability(long age, long remaining) {
+        if (remaining <= 0) {
             return 0;
         }
         double longer = 0;
-        double inTime = 0;
+        double endedInTime = 0;
         for (int i = 0; i < count(); i++) {
-            double from = Math.max(age, samples[i] - BLUR);
-            double to = samples[i] + BLUR;
+            double from = Math.max(age, samples[i] - SAMPLE_SPREAD_MICROS);
+            double to = samples[i] + SAMPLE_SPREAD_MICROS;
             longer += Math.max(0, to - from);
-            inTime += Math.max(0, Math.min(to, age + left) - from);
+            endedInTime += Math.max(0, Math.min(to, age + remaining) - from);
         }
-        return longer == 0 ? left / (double) (Math.max(age, 1) + left) : inTime / longer;
+        return longer == 0 ? remaining / (double) (Math.max(age, 1) + remaining) : endedInTime / longer;
     }
 
-    /** The median of what a change that has lasted for {@code age} goes on for. */
+    /** The median of the time that a failover which has lasted for {@code age} still takes. */
     long remaining(long age) {
         long[] longer =
                 Arrays.stream(samples, 0, count()).filter(s -> s > age).sorted().toArray();
--- a/src/main/java/crankwick/failover/FailoverSettings.java
+++ b/src/main/java/crankwick/failover/FailoverSettings.java
@@ -1,24 +1,24 @@
 package crankwick.failover;
 
 /**
- * What an installation sets of changes of primaries; times in microseconds.
+ * What an installation configures of failovers; times in microseconds. The operator's file has keys of its own for
+ * these, which the messages of mistakes name.
  *
- * @param bufferedPerGroup requests held for one group, 0 or more; 0 holds nothing. Default 512: at a site's 25
- *     writes a second and group, that is 20 s of them, more than any deadline
- * @param bufferedPerTeam requests held of one team over all groups. Default 2,048
- * @param bytesPerGroup bytes of statements held for one group. Default 1 MiB
- * @param bytesPerTeam bytes of statements held of one team. Default 4 MiB
- * @param minSuccessProbability a request waits only while the chance that the change ends in time is this or more, 0 to
- *     1. Default 0.05: at 0.02 the refused waited as long as ever, at 0.1 two more in a hundred were lost
- * @param initialWindow requests let go at once to a primary that has just taken over, 1 or more; each answer
- *     in time allows one more. Default 4
- * @param keyMargin a key's window ends this long early, for the way there. Default 100 ms
- * @param maxKeys keys that may have run and are remembered, 1 or more. Default 65,536: 3 MB when full
- * @param keyRetention how long after its window a key that may have run is still known, so that a client's retry
- *     is failed instead of run a second time. Default 3 s, the longest deadline
- * @param unplannedMin the shortest change of a dead primary that is expected before any was seen; to
- *     {@code unplannedMax}. Default 2.9 to 6.6 s
- * @param plannedMin the shortest change of a draining one; to {@code plannedMax}. Default 0.49 to 1 s
+ * @param bufferedPerGroup requests buffered for one group, 0 or more; 0 buffers none
+ * @param bufferedPerTeam requests buffered of one team over all groups
+ * @param bytesPerGroup bytes of statements buffered for one group
+ * @param bytesPerTeam bytes of statements buffered of one team
+ * @param minSuccessProbability a request waits only while the failover ends in time with this probability or more,
+ *     0 to 1
+ * @param initialWindow requests released at once to a new primary, 1 or more
+ * @param keyMargin a key's window ends this much early, for the way to the database
+ * @param maxKeys keys that may have executed and are remembered, 1 or more
+ * @param keyRetention how long after its window a key that may have executed is still remembered, so that a client's
+ *     retry fails instead of executing a second time
+ * @param unplannedMin the shortest expected failover from a failed primary
+ * @param unplannedMax the longest expected failover from a failed primary
+ * @param plannedMin the shortest expected failover from a draining primary
+ * @param plannedMax the longest expected failover from a draining primary
  */
 public record FailoverSettings(
         int bufferedPerGroup,
@@ -34,12 +34,27 @@
         long unplannedMax,
         long plannedMin,
         long plannedMax) {
-    /** The defaults, from the site's stated times. */
+    private static final int MAX_KEYS_LIMIT = 1 << 24;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long BYTES_PER_MEBIBYTE = 1 << 20;
+
+    /** What holds where the operator's file is silent. */
     public static final FailoverSettings DEFAULT = new FailoverSettings(
-            512, 2_048, 1 << 20, 4 << 20, 0.05, 4, 100_000, 65_536, 3_000_000, 2_900_000, 6_600_000, 490_000,
-            1_000_000);
+            512,
+            2_048,
+            BYTES_PER_MEBIBYTE,
+            4 * BYTES_PER_MEBIBYTE,
+            0.05,
+            4,
+            100 * MICROS_PER_MILLI,
+            65_536,
+            3_000 * MICROS_PER_MILLI,
+            2_900 * MICROS_PER_MILLI,
+            6_600 * MICROS_PER_MILLI,
+            490 * MICROS_PER_MILLI,
+            1_000 * MICROS_PER_MILLI);
 
-    /** Checks every field; throws IllegalArgumentException naming the one at fault. */
+    /** Checks every field; throws IllegalArgumentException that names the key of the operator's file. */
     public FailoverSettings {
         require(bufferedPerGroup >= 0, "held_per_group");
         require(bufferedPerTeam >= 0, "held_per_team");
@@ -48,7 +63,7 @@
         require(minSuccessProbability >= 0 && minSuccessProbability <= 1, "hope_least");
         require(initialWindow >= 1, "start_window");
         require(keyMargin >= 0, "key_margin_ms");
-        require(maxKeys >= 1 && maxKeys <= 1 << 24, "keys");
+        require(maxKeys >= 1 && maxKeys <= MAX_KEYS_LIMIT, "keys");
         require(keyRetention >= 0, "key_memory_ms");
         require(unplannedMin > 0, "unplanned_least_ms");
         require(unplannedMax >= unplannedMin, "unplanned_most_ms");
@@ -56,14 +71,14 @@
         require(plannedMax >= plannedMin, "planned_most_ms");
     }
 
-    /** The same with another least hope. */
-    public FailoverSettings withMinSuccessProbability(double hope) {
+    /** The same with another minimum of the success probability. */
+    public FailoverSettings withMinSuccessProbability(double probability) {
         return new FailoverSettings(
                 bufferedPerGroup,
                 bufferedPerTeam,
                 bytesPerGroup,
                 bytesPerTeam,
-                hope,
+                probability,
                 initialWindow,
                 keyMargin,
                 maxKeys,
--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -3,56 +3,60 @@
 import java.util.Arrays;
 
 /**
- * The keys that may have run, each from the sending of the first attempt that may have until its window and
- * the memory after it are over. Entries stand in parallel arrays, chained by hash, and end on a hashed timing
- * wheel (Varghese and Lauck, "Hashed and hierarchical timing wheels", 1987): an operation takes constant time
- * and an entry {@value #BYTES} bytes with its share of the chains, whatever the number of entries.
+ * The idempotency keys that may have executed, each from the sending of the first attempt that may have until its
+ * window and the retention after it are over. Entries stand in parallel arrays, chained by hash, and expire on a
+ * hashed timing wheel (Varghese and Lauck, "Hashed and hierarchical timing wheels", 1987): an operation takes
+ * constant time and an entry {@value #BYTES_PER_ENTRY} bytes with its share of the chains, whatever their number.
  *
  * <p>A key is known by a 64-bit hash over it and its group, seeded: with a million keys in memory the chance
- * that any two share one is under one in ten million, and such a pair is only failed where it might have run.
+ * that any two share one is under one in ten million, and such a pair is only failed where it might have executed.
  */
 final class KeyRegistry {
-    /** Eight each for hash, sending and end, four each for two links, two chains' heads and the state. */
-    static final int BYTES = 37;
+    /** Three times 8 for hash, sending and expiry, three times 4 for two links and a chain head, 1 for the state. */
+    static final int BYTES_PER_ENTRY = 37;
+
+    /** The time of what has not happened. */
+    static final long NEVER = Long.MAX_VALUE;
 
     private static final int NONE = -1;
-    /** A slot of the wheel, in microseconds; and how many there are: longer windows go round again. */
-    private static final long TICK = 8_192;
+    private static final int INITIAL_CAPACITY = 64;
+    /** The span of a slot of the wheel; entries that live longer than one turn go round again. */
+    private static final long TICK_MICROS = 8_192;
 
     private static final int SLOTS = 1_024;
     private static final byte FREE = 0;
-    private static final byte OUT = 1;
-    private static final byte DOUBT = 2;
-    private static final byte APPLIED = 3;
-    private static final byte DROPPED = 4;
+    private static final byte IN_FLIGHT = 1;
+    private static final byte OUTCOME_UNKNOWN = 2;
+    private static final byte EXECUTED = 3;
+    private static final byte NOT_EXECUTED = 4;
 
-    private final int most;
+    private final int maxKeys;
     private final long seed;
     private long[] hashes;
     private long[] sentAt;
-    private long[] endsAt;
+    private long[] expiresAt;
     private int[] nextInChain;
     private int[] nextInSlot;
     private byte[] states;
     private int[] chains;
     private final int[] slots = new int[SLOTS];
-    private int free = NONE;
+    private int firstFree = NONE;
     private int used;
     private int size;
-    private long tick = Long.MIN_VALUE;
+    private long currentTick = Long.MIN_VALUE;
 
-    /** Keeps up to {@code most} keys; the arrays grow to that as needed. */
-    KeyRegistry(int most, long seed) {
-        this.most = most;
+    /** Remembers up to {@code maxKeys} keys; the arrays grow to that as needed. */
+    KeyRegistry(int maxKeys, long seed) {
+        this.maxKeys = maxKeys;
         this.seed = seed;
         Arrays.fill(slots, NONE);
-        allocate(Math.min(most, 64));
+        allocate(Math.min(maxKeys, INITIAL_CAPACITY));
     }
 
     private void allocate(int capacity) {
         hashes = hashes == null ? new long[capacity] : Arrays.copyOf(hashes, capacity);
         sentAt = sentAt == null ? new long[capacity] : Arrays.copyOf(sentAt, capacity);
-        endsAt = endsAt == null ? new long[capacity] : Arrays.copyOf(endsAt, capacity);
+        expiresAt = expiresAt == null ? new long[capacity] : Arrays.copyOf(expiresAt, capacity);
         nextInChain = nextInChain == null ? new int[capacity] : Arrays.copyOf(nextInChain, capacity);
         nextInSlot = nextInSlot == null ? new int[capacity] : Arrays.copyOf(nextInSlot, capacity);
         states = states == null ? new byte[capacity] : Arrays.copyOf(states, capacity);
@@ -60,12 +64,12 @@
         Arrays.fill(chains, NONE);
         for (int entry = 0; entry < used; entry++) {
             if (states[entry] != FREE) {
-                chain(entry);
+                addToChain(entry);
             }
         }
     }
 
-    private void chain(int entry) {
+    private void addToChain(int entry) {
         int head = chainOf(hashes[entry]);
         nextInChain[entry] = chains[head];
         chains[head] = entry;
@@ -75,7 +79,7 @@
         return (int) (hash >>> 32) & chains.length - 1;
     }
 
-    /** The name that a key of a group goes by here. */
+    /** The hash by which a group's key is known here. */
     long hash(long group, String key) {
         long h = seed ^ group * 0x9E3779B97F4A7C15L;
         for (int i = 0; i < key.length(); i++) {
@@ -93,64 +97,64 @@
     }
 
     /**
-     * An attempt is sent. The first one that may have run dates the window: a later one changes nothing.
+     * An attempt is sent. The first one that may have executed starts the window: a later one changes nothing.
      *
-     * @param keptFor how long the key is to be known from now on
-     * @return false if there is no room
+     * @param timeToLive how long the key is remembered from now on
+     * @return false if no further key can be remembered
      */
-    boolean sent(long hash, long now, long keptFor) {
+    boolean recordAttempt(long hash, long now, long timeToLive) {
         advance(now);
         int entry = find(hash);
         if (entry != NONE) {
-            if (states[entry] == DROPPED || endsAt[entry] <= now) {
+            if (states[entry] == NOT_EXECUTED || expiresAt[entry] <= now) {
                 sentAt[entry] = now;
-                endsAt[entry] = now + keptFor;
-                states[entry] = OUT;
+                expiresAt[entry] = now + timeToLive;
+                states[entry] = IN_FLIGHT;
             }
             return true;
         }
-        if (free == NONE && used == hashes.length) {
-            if (used >= most) {
+        if (firstFree == NONE && used == hashes.length) {
+            if (used >= maxKeys) {
                 return false;
             }
-            allocate(Math.min(most, used * 2));
+            allocate(Math.min(maxKeys, used * 2));
         }
-        if (free != NONE) {
-            entry = free;
-            free = nextInChain[entry];
+        if (firstFree != NONE) {
+            entry = firstFree;
+            firstFree = nextInChain[entry];
         } else {
             entry = used++;
         }
         hashes[entry] = hash;
         sentAt[entry] = now;
-        endsAt[entry] = now + keptFor;
-        states[entry] = OUT;
+        expiresAt[entry] = now + timeToLive;
+        states[entry] = IN_FLIGHT;
         size++;
-        chain(entry);
-        inSlot(entry);
+        addToChain(entry);
+        addToSlot(entry);
         return true;
     }
 
-    /** An attempt has ended: served, proven not to have run, or neither. */
-    void ended(long hash, boolean served, boolean provenNotRun) {
+    /** An attempt has ended: executed, proven not to have executed, or neither. */
+    void recordResult(long hash, boolean executed, boolean provenNotExecuted) {
         int entry = find(hash);
         if (entry == NONE) {
             return;
         }
-        if (served) {
-            states[entry] = APPLIED;
-        } else if (!provenNotRun) {
-            states[entry] = states[entry] == APPLIED ? APPLIED : DOUBT;
-        } else if (states[entry] == OUT) {
-            states[entry] = DROPPED;
+        if (executed) {
+            states[entry] = EXECUTED;
+        } else if (!provenNotExecuted) {
+            states[entry] = states[entry] == EXECUTED ? EXECUTED : OUTCOME_UNKNOWN;
+        } else if (states[entry] == IN_FLIGHT) {
+            states[entry] = NOT_EXECUTED;
         }
     }
 
-    /** When the first attempt that may have run was sent; Long.MAX_VALUE if none may have. */
-    long ranSince(long hash, long now) {
+    /** When the first attempt that may have executed was sent; {@link #NEVER} if none may have. */
+    long mayHaveExecutedSince(long hash, long now) {
         advance(now);
         int entry = find(hash);
-        return entry == NONE || states[entry] == DROPPED || endsAt[entry] <= now ? Long.MAX_VALUE : sentAt[entry];
+        return entry == NONE || states[entry] == NOT_EXECUTED || expiresAt[entry] <= now ? NEVER : sentAt[entry];
     }
 
     /** Keys in memory. */
@@ -166,37 +170,37 @@
         return entry;
     }
 
-    private void inSlot(int entry) {
-        int slot = (int) Math.floorMod(Math.floorDiv(endsAt[entry], TICK) + 1, (long) SLOTS);
+    private void addToSlot(int entry) {
+        int slot = (int) Math.floorMod(Math.floorDiv(expiresAt[entry], TICK_MICROS) + 1, (long) SLOTS);
         nextInSlot[entry] = slots[slot];
         slots[slot] = entry;
     }
 
-    /** Ends what is due. Work is bounded by the entries that end and one turn of the wheel. */
+    /** Removes expired entries. Work is bounded by the entries that expire and one turn of the wheel. */
     private void advance(long now) {
-        long to = Math.floorDiv(now, TICK);
-        if (tick == Long.MIN_VALUE) {
-            tick = to;
+        long to = Math.floorDiv(now, TICK_MICROS);
+        if (currentTick == Long.MIN_VALUE) {
+            currentTick = to;
         }
-        long from = Math.max(tick, to - SLOTS);
+        long from = Math.max(currentTick, to - SLOTS);
         for (long t = from + 1; t <= to; t++) {
             int slot = (int) Math.floorMod(t, (long) SLOTS);
             int entry = slots[slot];
             slots[slot] = NONE;
             while (entry != NONE) {
                 int next = nextInSlot[entry];
-                if (endsAt[entry] <= now) {
-                    end(entry);
+                if (expiresAt[entry] <= now) {
+                    remove(entry);
                 } else {
-                    inSlot(entry);
+                    addToSlot(entry);
                 }
                 entry = next;
             }
         }
-        tick = Math.max(tick, to);
+        currentTick = Math.max(currentTick, to);
     }
 
-    private void end(int entry) {
+    private void remove(int entry) {
         int head = chainOf(hashes[entry]);
         int before = NONE;
         for (int at = chains[head]; at != entry; at = nextInChain[at]) {
@@ -208,8 +212,8 @@
             nextInChain[before] = nextInChain[entry];
         }
         states[entry] = FREE;
-        nextInChain[entry] = free;
-        free = entry;
+        nextInChain[entry] = firstFree;
+        firstFree = entry;
         size--;
     }
 }
--- a/src/main/java/crankwick/failover/Leadership.java
+++ b/src/main/java/crankwick/failover/Leadership.java
@@ -15,47 +15,50 @@
  * (as a fencing token; Gray and Cheriton, "Leases", 1989).
  */
 public final class Leadership {
-    /** A group's standing; only VACANT holds requests back. */
+    /** The state of a group's leadership; only LEADERLESS makes requests wait. */
     public enum Phase {
-        /** Nobody has claimed to lead yet. */
+        /** No endpoint has claimed to lead yet. */
         UNKNOWN,
         /** The leader answers. */
-        LED,
-        /** A sign against the leader, such as a broken connection; work goes on. */
-        DOUBTED,
-        /** The leader is down, silent, withdrawn, or denies it. */
+        HEALTHY,
+        /** There is evidence against the leader, such as a lost connection; work goes on. */
+        SUSPECTED,
+        /** The leader is down, unresponsive, delisted, or denies that it leads. */
         LEADERLESS,
         /** A leader has claimed the role and has not served a write yet. */
         TAKING_OVER
     }
 
-    /** A move of the phase or the leader, and what moved it. */
-    public record PhaseTransition(long at, Phase from, Phase to, String leader, long term, LeadershipEvidence why) {}
+    /** A change of the phase or the leader, and the evidence for it. */
+    public record PhaseTransition(
+            long at, Phase from, Phase to, String leader, long term, LeadershipEvidence evidence) {}
 
-    /** A present leader heard so lately is not given up for one who led before. */
-    private static final long HEARD_LATELY = 500_000;
-    /** A primary stands at the present: a claim with an older position is that of one that once did. */
-    private static final long CLAIM_AGE = 1_500_000;
+    /** A leader observed so recently is not given up for one that led before. */
+    private static final long RECENTLY_OBSERVED_MICROS = 500_000;
+    /** A primary's position is the present: an older one is claimed by an endpoint that has been replaced. */
+    private static final long MAX_CLAIM_AGE_MICROS = 1_500_000;
     /** Positions are rounded to milliseconds on the wires. */
-    private static final long ROUNDING = 2_000;
+    private static final long POSITION_ROUNDING_MICROS = 2_000;
+    /** Earlier than any time, and far enough from the least long that a difference to it does not overflow. */
+    private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
-    private static final int MOVES_KEPT = 32;
+    private static final int MAX_TRANSITIONS = 32;
 
-    private final Map<String, Long> overtaken = new HashMap<>();
-    private final ArrayDeque<PhaseTransition> moves = new ArrayDeque<>();
+    private final Map<String, Long> replacedLeaders = new HashMap<>();
+    private final ArrayDeque<PhaseTransition> transitions = new ArrayDeque<>();
     private Phase phase = Phase.UNKNOWN;
     private String leader;
-    private boolean withdrawn;
+    private boolean delisted;
     private long term;
     private long claimedAsOf = Long.MIN_VALUE;
-    private long heardAt = Long.MIN_VALUE / 2;
-    private long doubtedAt;
-    private long vacantSince;
+    private long lastObservedAt = LONG_AGO;
+    private long suspectedAt;
+    private long leaderlessSince;
     private boolean planned;
-    private long fence = Long.MIN_VALUE / 2;
+    private long fence = LONG_AGO;
 
     /** Takes a piece of evidence; false if it is a claim or denial that is not believed. */
-    boolean take(LeadershipEvidence evidence, long now) {
+    boolean observe(LeadershipEvidence evidence, long now) {
         if (evidence instanceof LeadershipEvidence.RoleReported e) {
             return e.role() == Role.PRIMARY ? onClaim(e, now) : onDenial(e, e.asOf(), now);
         }
@@ -66,73 +69,89 @@
             return true;
         }
         if (evidence instanceof LeadershipEvidence.ConnectionRefused) {
-            vacate(evidence, now, now, false);
+            endLeadership(evidence, now, now, false);
         } else if (evidence instanceof LeadershipEvidence.ConnectionLost) {
-            doubt(evidence, now, now);
+            suspect(evidence, now, now);
         } else if (evidence instanceof LeadershipEvidence.Unresponsive e) {
-            onSilence(e, now);
+            onUnresponsive(e, now);
         } else if (evidence instanceof LeadershipEvidence.Delisted) {
-            withdrawn = true;
-            vacate(evidence, now, now, true);
+            delisted = true;
+            endLeadership(evidence, now, now, true);
         } else if (evidence instanceof LeadershipEvidence.ListedAsUp) {
-            withdrawn = false;
+            delisted = false;
         }
         return true;
     }
 
     private boolean onClaim(LeadershipEvidence.RoleReported claim, long now) {
-        boolean behind = claim.position() != AbsentValue.NONE
-                && (claim.position() < fence - ROUNDING || claim.position() < now - CLAIM_AGE);
-        if (claim.endpointId().equals(leader)) {
-            boolean stale = phase == Phase.LEADERLESS && (behind || claim.asOf() <= vacantSince);
-            if (!withdrawn && !stale) {
-                heard(claim, now);
-            }
-            return !withdrawn && !stale;
-        }
-        boolean led = phase == Phase.LED || phase == Phase.TAKING_OVER || phase == Phase.DOUBTED;
-        boolean older = claim.asOf() < claimedAsOf;
-        boolean present = led && now - heardAt < HEARD_LATELY;
-        boolean returned = overtaken.containsKey(claim.endpointId());
-        if (behind
-                || older
-                || returned
-                        && (present
-                                || claim.asOf() <= overtaken.get(claim.endpointId())
-                                || claim.position() == AbsentValue.NONE && led)) {
+        boolean fromLeader = claim.endpointId().equals(leader);
+        boolean believed = fromLeader ? isLeaderClaimBelieved(claim, now) : isChallengeBelieved(claim, now);
+        if (!believed) {
             return false;
         }
-        begin(claim, now);
+        if (fromLeader) {
+            onLeaderObserved(claim, now);
+        } else {
+            beginTerm(claim, now);
+        }
         return true;
     }
 
-    /** The leader speaks as such: a doubt that is older than what it says is over. */
-    private void heard(LeadershipEvidence.RoleReported claim, long now) {
+    private boolean isLeaderClaimBelieved(LeadershipEvidence.RoleReported claim, long now) {
+        boolean outdated =
+                phase == Phase.LEADERLESS && (isPositionBehind(claim, now) || claim.asOf() <= leaderlessSince);
+        return !delisted && !outdated;
+    }
+
+    /** Whether an endpoint that is not the leader so far is believed to be so now. */
+    private boolean isChallengeBelieved(LeadershipEvidence.RoleReported claim, long now) {
+        if (isPositionBehind(claim, now) || claim.asOf() < claimedAsOf) {
+            return false;
+        }
+        Long replacedAsOf = replacedLeaders.get(claim.endpointId());
+        if (replacedAsOf == null) {
+            return true;
+        }
+        boolean hasLeader = phase == Phase.HEALTHY || phase == Phase.TAKING_OVER || phase == Phase.SUSPECTED;
+        boolean leaderObserved = hasLeader && now - lastObservedAt < RECENTLY_OBSERVED_MICROS;
+        boolean undated = claim.position() == AbsentValue.NONE && hasLeader;
+        return !leaderObserved && claim.asOf() > replacedAsOf && !undated;
+    }
+
+    /** True if the claimed position lies behind what a leader must have. */
+    private boolean isPositionBehind(LeadershipEvidence.RoleReported claim, long now) {
+        return claim.position() != AbsentValue.NONE
+                && (claim.position() < fence - POSITION_ROUNDING_MICROS
+                        || claim.position() < now - MAX_CLAIM_AGE_MICROS);
+    }
+
+    /** The leader reports as such: a suspicion that is older than its report is over. */
+    private void onLeaderObserved(LeadershipEvidence.RoleReported claim, long now) {
         claimedAsOf = Math.max(claimedAsOf, claim.asOf());
-        heardAt = now;
+        lastObservedAt = now;
         fence = Math.max(fence, claim.position());
         if (phase == Phase.LEADERLESS) {
-            move(Phase.TAKING_OVER, claim, now);
-        } else if (phase == Phase.DOUBTED && claim.asOf() > doubtedAt) {
-            move(Phase.LED, claim, now);
+            transition(Phase.TAKING_OVER, claim, now);
+        } else if (phase == Phase.SUSPECTED && claim.asOf() > suspectedAt) {
+            transition(Phase.HEALTHY, claim, now);
         }
     }
 
-    private void begin(LeadershipEvidence.RoleReported claim, long now) {
+    private void beginTerm(LeadershipEvidence.RoleReported claim, long now) {
         if (leader != null) {
-            overtaken.put(leader, claim.asOf());
+            replacedLeaders.put(leader, claim.asOf());
         }
-        overtaken.remove(claim.endpointId());
+        replacedLeaders.remove(claim.endpointId());
         leader = claim.endpointId();
-        withdrawn = false;
+        delisted = false;
         term++;
         claimedAsOf = claim.asOf();
-        heardAt = now;
+        lastObservedAt = now;
         fence = Math.max(fence, claim.position());
-        move(phase == Phase.UNKNOWN ? Phase.LED : Phase.TAKING_OVER, claim, now);
+        transition(phase == Phase.UNKNOWN ? Phase.HEALTHY : Phase.TAKING_OVER, claim, now);
     }
 
-    /** The leader says that it does not lead; what it said before its last claim is no news. */
+    /** The leader denies that it leads; a denial older than its last claim is outdated. */
     private boolean onDenial(LeadershipEvidence denial, long asOf, long now) {
         if (!denial.endpointId().equals(leader)) {
             return true;
@@ -140,54 +159,54 @@
         if (asOf <= claimedAsOf) {
             return false;
         }
-        vacate(denial, now, now, false);
+        endLeadership(denial, now, now, false);
         return true;
     }
 
-    private void onSilence(LeadershipEvidence.Unresponsive silence, long now) {
-        if (heardAt >= silence.asOf()) {
+    private void onUnresponsive(LeadershipEvidence.Unresponsive unresponsive, long now) {
+        if (lastObservedAt >= unresponsive.asOf()) {
             return;
         }
-        if (phase == Phase.DOUBTED && silence.asOf() > doubtedAt) {
-            vacate(silence, Math.max(heardAt, doubtedAt), now, false);
+        if (phase == Phase.SUSPECTED && unresponsive.asOf() > suspectedAt) {
+            endLeadership(unresponsive, Math.max(lastObservedAt, suspectedAt), now, false);
         } else {
-            doubt(silence, silence.asOf(), now);
+            suspect(unresponsive, unresponsive.asOf(), now);
         }
     }
 
-    private void doubt(LeadershipEvidence why, long since, long now) {
-        if (phase == Phase.LED || phase == Phase.TAKING_OVER) {
-            doubtedAt = since;
-            move(Phase.DOUBTED, why, now);
+    private void suspect(LeadershipEvidence evidence, long since, long now) {
+        if (phase == Phase.HEALTHY || phase == Phase.TAKING_OVER) {
+            suspectedAt = since;
+            transition(Phase.SUSPECTED, evidence, now);
         }
     }
 
-    private void vacate(LeadershipEvidence why, long since, long now, boolean byPlan) {
+    private void endLeadership(LeadershipEvidence evidence, long since, long now, boolean isPlanned) {
         if (phase != Phase.LEADERLESS) {
-            planned = byPlan;
-            vacantSince = since;
-            move(Phase.LEADERLESS, why, now);
+            planned = isPlanned;
+            leaderlessSince = since;
+            transition(Phase.LEADERLESS, evidence, now);
         }
     }
 
-    /** The leader has served a write: the change is over. */
-    void served(LeadershipEvidence why, long now) {
-        if (phase == Phase.TAKING_OVER && why.endpointId().equals(leader)) {
-            move(Phase.LED, why, now);
+    /** A leader has served a write: the failover is over. */
+    void writeServed(LeadershipEvidence evidence, long now) {
+        if (phase == Phase.TAKING_OVER && evidence.endpointId().equals(leader)) {
+            transition(Phase.HEALTHY, evidence, now);
         }
     }
 
-    private void move(Phase to, LeadershipEvidence why, long now) {
-        moves.add(new PhaseTransition(now, phase, to, leader, term, why));
-        if (moves.size() > MOVES_KEPT) {
-            moves.remove();
+    private void transition(Phase to, LeadershipEvidence evidence, long now) {
+        transitions.add(new PhaseTransition(now, phase, to, leader, term, evidence));
+        if (transitions.size() > MAX_TRANSITIONS) {
+            transitions.remove();
         }
         phase = to;
     }
 
-    /** A member has left for good. */
-    void forget(String server) {
-        overtaken.remove(server);
+    /** An endpoint has been removed for good. */
+    void forget(String endpointId) {
+        replacedLeaders.remove(endpointId);
     }
 
     /** The present phase. */
@@ -195,28 +214,28 @@
         return phase;
     }
 
-    /** Who leads or led last; null before the first claim. */
+    /** The endpoint that leads or led last; null before the first claim. */
     public String leader() {
         return leader;
     }
 
-    /** Leaders believed so far. */
+    /** How many terms have begun so far. */
     public long term() {
         return term;
     }
 
-    /** Since when a vacant group is vacant, as far as this proxy can tell; microseconds. */
-    public long vacantSince() {
-        return vacantSince;
+    /** Since when a leaderless group has been so, as far as this proxy can tell; microseconds. */
+    public long leaderlessSince() {
+        return leaderlessSince;
     }
 
-    /** True if the last vacancy began with a withdrawal that was told. */
+    /** True if the last failover began with the leader's delisting. */
     public boolean planned() {
         return planned;
     }
 
-    /** The last moves, the oldest first, with the evidence for each. */
-    public List<PhaseTransition> moves() {
-        return List.copyOf(moves);
+    /** The last transitions, the oldest first, with the evidence for each. */
+    public List<PhaseTransition> transitions() {
+        return List.copyOf(transitions);
     }
 }
--- a/src/main/java/crankwick/failover/RequestBuffer.java
+++ b/src/main/java/crankwick/failover/RequestBuffer.java
@@ -7,90 +7,90 @@
 import java.util.TreeSet;
 
 /**
- * The requests that wait for one group's primary, in the order in which they are let go: the one whose time
- * ends first comes first, and each unit of worth counts like {@link #WORTH_CREDIT} less time. A key that only
- * depends on the request starves nobody: whatever comes later ends later.
+ * The requests that wait for one group's primary, in the order of their release: earliest deadline first, where
+ * each unit of priority weight brings the deadline forward by {@link #MICROS_PER_WEIGHT_UNIT}. An order that only
+ * depends on the request starves none: whatever arrives later has a later deadline.
  */
 final class RequestBuffer {
-    /** Microseconds that a unit of worth is ahead. */
-    private static final long WORTH_CREDIT = 50_000;
+    private static final long MICROS_PER_WEIGHT_UNIT = 50_000;
 
     /**
      * A request that waits.
      *
-     * @param useful the last moment at which letting it go can still earn its answer
+     * @param usefulUntil the last moment at which letting it go can still earn its answer
      */
-    record BufferedRequest(long ref, String team, double worth, long useful, int bytes) {
-        long order() {
-            return useful - (long) (worth * WORTH_CREDIT);
+    record BufferedRequest(long requestId, String team, double priorityWeight, long usefulUntil, int statementBytes) {
+        long releaseOrder() {
+            return usefulUntil - (long) (priorityWeight * MICROS_PER_WEIGHT_UNIT);
         }
     }
 
-    /** What a team holds over all groups. */
+    /** What a team has buffered over all groups. */
     static final class TeamUsage {
         int requests;
         long bytes;
     }
 
-    private final TreeSet<BufferedRequest> order = new TreeSet<>(
-            (a, b) -> a.order() != b.order() ? Long.compare(a.order(), b.order()) : Long.compare(a.ref(), b.ref()));
-    private final Map<Long, BufferedRequest> byRef = new HashMap<>();
-    private final Map<String, TeamUsage> shares;
+    private final TreeSet<BufferedRequest> order = new TreeSet<>((a, b) -> a.releaseOrder() != b.releaseOrder()
+            ? Long.compare(a.releaseOrder(), b.releaseOrder())
+            : Long.compare(a.requestId(), b.requestId()));
+    private final Map<Long, BufferedRequest> byRequestId = new HashMap<>();
+    private final Map<String, TeamUsage> teamUsage;
     private final FailoverSettings settings;
     private long bytes;
 
-    /** {@code shares} of teams, over all groups, are kept by all queues together. */
-    RequestBuffer(FailoverSettings settings, Map<String, TeamUsage> shares) {
+    /** {@code teamUsage}, over all groups, is shared by the buffers of all groups. */
+    RequestBuffer(FailoverSettings settings, Map<String, TeamUsage> teamUsage) {
         this.settings = settings;
-        this.shares = shares;
+        this.teamUsage = teamUsage;
     }
 
-    /** Takes a request; false if one of the bounds forbids it. */
-    boolean add(BufferedRequest held) {
-        TeamUsage share = shares.computeIfAbsent(held.team(), team -> new TeamUsage());
-        boolean room = byRef.size() < settings.bufferedPerGroup()
-                && bytes + held.bytes() <= settings.bytesPerGroup()
-                && share.requests < settings.bufferedPerTeam()
-                && share.bytes + held.bytes() <= settings.bytesPerTeam();
-        if (room) {
-            share.requests++;
-            share.bytes += held.bytes();
-            bytes += held.bytes();
-            order.add(held);
-            byRef.put(held.ref(), held);
-        } else if (share.requests == 0) {
-            shares.remove(held.team());
+    /** Adds a request; false if one of the limits forbids it. */
+    boolean add(BufferedRequest request) {
+        TeamUsage usage = teamUsage.computeIfAbsent(request.team(), team -> new TeamUsage());
+        boolean hasCapacity = byRequestId.size() < settings.bufferedPerGroup()
+                && bytes + request.statementBytes() <= settings.bytesPerGroup()
+                && usage.requests < settings.bufferedPerTeam()
+                && usage.bytes + request.statementBytes() <= settings.bytesPerTeam();
+        if (hasCapacity) {
+            usage.requests++;
+            usage.bytes += request.statementBytes();
+            bytes += request.statementBytes();
+            order.add(request);
+            byRequestId.put(request.requestId(), request);
+        } else if (usage.requests == 0) {
+            teamUsage.remove(request.team());
         }
-        return room;
+        return hasCapacity;
     }
 
-    /** The one place where held room is given back; null if the request is not held. */
-    BufferedRequest remove(long ref) {
-        BufferedRequest held = byRef.remove(ref);
-        if (held != null) {
-            order.remove(held);
-            bytes -= held.bytes();
-            TeamUsage share = shares.get(held.team());
-            share.bytes -= held.bytes();
-            if (--share.requests == 0) {
-                shares.remove(held.team());
+    /** Removes a request and returns the capacity that it takes; null if the request is not buffered. */
+    BufferedRequest remove(long requestId) {
+        BufferedRequest request = byRequestId.remove(requestId);
+        if (request != null) {
+            order.remove(request);
+            bytes -= request.statementBytes();
+            TeamUsage usage = teamUsage.get(request.team());
+            usage.bytes -= request.statementBytes();
+            if (--usage.requests == 0) {
+                teamUsage.remove(request.team());
             }
         }
-        return held;
+        return request;
     }
 
-    /** Who is let go next; null if nobody waits. */
+    /** The request to be released next; null if none waits. */
     BufferedRequest first() {
         return order.isEmpty() ? null : order.first();
     }
 
-    /** Everybody, in order. */
+    /** All requests, in order of release. */
     List<BufferedRequest> all() {
         return new ArrayList<>(order);
     }
 
     int size() {
-        return byRef.size();
+        return byRequestId.size();
     }
 
     long bytes() {
--- a/src/main/java/crankwick/failover/package-info.java
+++ b/src/main/java/crankwick/failover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Changes of primaries: who leads a group by dated evidence, which requests are held, and which idempotency keys may
- * have run. No input or output.
+ * Failovers of primaries: who leads a group by dated evidence, which requests are buffered, and which idempotency keys
+ * may have executed. No input or output.
  */
 package crankwick.failover;
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -335,10 +335,10 @@
     private void tell(BrokerEvent event) {
         FailoverCounters counters =
                 broker.failover() == null ? null : broker.failover().counters();
-        long changesBefore = counters == null ? 0 : counters.changes();
+        long changesBefore = counters == null ? 0 : counters.failovers();
         long releasedBefore = counters == null ? 0 : counters.released();
         List<Effect> effects = broker.reduce(event, time.now());
-        if (counters != null && counters.changes() > changesBefore) {
+        if (counters != null && counters.failovers() > changesBefore) {
             audit.released(time.now(), (int) (counters.released() - releasedBefore));
         }
         for (Effect effect : effects) {
--- a/src/test/java/crankwick/failover/KeyRegistryBenchmark.java
+++ b/src/test/java/crankwick/failover/KeyRegistryBenchmark.java
@@ -18,7 +18,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What a key's life and a held request's cost with so many of them in memory, beside plain variants: a map of
+ * The cost of one key and of one buffered request with so many of them in memory, beside plain variants: a map of
  * keys that is swept each half second, and a list that is searched. {@code make benchmark} runs it.
  */
 @State(Scope.Thread)
@@ -28,91 +28,92 @@
 @Warmup(iterations = 2, time = 2)
 @Measurement(iterations = 3, time = 2)
 public class KeyRegistryBenchmark {
-    private static final long KEPT = 5_000_000;
-    private static final long SWEEP_EVERY = 500_000;
+    private static final long TIME_TO_LIVE = 5_000_000;
+    private static final long SWEEP_INTERVAL = 500_000;
 
-    /** How many are in memory. */
+    /** How many keys and requests are in memory. */
     @Param({"1000", "1000000"})
     private int entries;
 
     private KeyRegistry registry;
-    private RequestBuffer queue;
+    private RequestBuffer buffer;
     private final Map<String, long[]> plainKeys = new HashMap<>();
-    private final List<RequestBuffer.BufferedRequest> plainQueue = new ArrayList<>();
+    private final List<RequestBuffer.BufferedRequest> plainList = new ArrayList<>();
     private long now = 1;
     private long sweptAt;
     private long next;
 
-    /** Fills both registries and both queues. */
+    /** Fills both registries and both buffers. */
     @Setup
     public void fill() {
         registry = new KeyRegistry(entries * 2, 17);
-        queue = new RequestBuffer(
+        buffer = new RequestBuffer(
                 new FailoverSettings(
                         entries + 1, entries + 1, Long.MAX_VALUE, Long.MAX_VALUE, 0.05, 4, 0, 1, 0, 1, 1, 1, 1),
                 new HashMap<>());
         for (int i = 0; i < entries; i++) {
             keyInRegistry();
-            queue.add(held(i));
-            plainQueue.add(held(i));
+            buffer.add(request(i));
+            plainList.add(request(i));
         }
         next = 0;
         now = 1;
         for (int i = 0; i < entries; i++) {
-            keyInPlainMap();
+            keyInMap();
         }
         next = entries;
     }
 
     /** The clock goes on so that as many keys end as begin. */
     private String nextKey() {
-        now += KEPT / entries;
+        now += TIME_TO_LIVE / entries;
         return Long.toHexString(next++ * 0x9E3779B97F4A7C15L);
     }
 
-    private RequestBuffer.BufferedRequest held(long ref) {
-        return new RequestBuffer.BufferedRequest(ref, "finder", ref % 7, ref * 0x9E3779B97F4A7C15L >>> 24, 200);
+    private RequestBuffer.BufferedRequest request(long requestId) {
+        return new RequestBuffer.BufferedRequest(
+                requestId, "finder", requestId % 7, requestId * 0x9E3779B97F4A7C15L >>> 24, 200);
     }
 
-    /** One key's life: asked for, sent, ended in doubt. */
+    /** One key: looked up, sent, ended with an unknown outcome. */
     @Benchmark
     public long keyInRegistry() {
         long hash = registry.hash(3, nextKey());
-        long ran = registry.ranSince(hash, now);
-        registry.sent(hash, now, KEPT);
-        registry.ended(hash, false, false);
-        return ran;
+        long mayHaveExecutedSince = registry.mayHaveExecutedSince(hash, now);
+        registry.recordAttempt(hash, now, TIME_TO_LIVE);
+        registry.recordResult(hash, false, false);
+        return mayHaveExecutedSince;
     }
 
     /** The same with a map and a sweep. */
     @Benchmark
-    public long keyInPlainMap() {
+    public long keyInMap() {
         String key = "3:" + nextKey();
-        if (now - sweptAt >= SWEEP_EVERY) {
+        if (now - sweptAt >= SWEEP_INTERVAL) {
             sweptAt = now;
             plainKeys.values().removeIf(e -> e[1] <= now);
         }
         long[] known = plainKeys.get(key);
-        plainKeys.put(key, new long[] {now, now + KEPT, 2});
+        plainKeys.put(key, new long[] {now, now + TIME_TO_LIVE, 2});
         return known == null ? Long.MAX_VALUE : known[0];
     }
 
-    /** The first leaves, another comes. */
+    /** The first request is removed, another is added. */
     @Benchmark
-    public long heldInQueue() {
-        RequestBuffer.BufferedRequest first = queue.first();
-        queue.remove(first.ref());
-        queue.add(held(next++));
-        return first.ref();
+    public long requestInBuffer() {
+        RequestBuffer.BufferedRequest first = buffer.first();
+        buffer.remove(first.requestId());
+        buffer.add(request(next++));
+        return first.requestId();
     }
 
     /** The same with a list that is searched. */
     @Benchmark
-    public long heldInPlainList() {
-        int least = 0;
-        for (int i = 1; i < plainQueue.size(); i++) {
-            least = plainQueue.get(i).order() < plainQueue.get(least).order() ? i : least;
+    public long requestInList() {
+        int earliest = 0;
+        for (int i = 1; i < plainList.size(); i++) {
+            earliest = plainList.get(i).releaseOrder() < plainList.get(earliest).releaseOrder() ? i : earliest;
         }
-        return plainQueue.set(least, held(next++)).ref();
+        return plainList.set(earliest, request(next++)).requestId();
     }
 }
--- a/src/test/java/crankwick/failover/KeyRegistryTest.java
+++ b/src/test/java/crankwick/failover/KeyRegistryTest.java
@@ -11,31 +11,31 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The registry against a plain map with a sweep, on random operations by seed. */
+/** The registry against a map with a sweep, on random operations by seed. */
 public class KeyRegistryTest {
-    private static final long KEPT = 5_000_000;
+    private static final long TIME_TO_LIVE = 5_000_000;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** What the registry must do, done simply. */
-    private static final class Plain {
+    /** The same contract with a map and a sweep over all entries. */
+    private static final class ReferenceRegistry {
         private final Map<Long, long[]> entries = new HashMap<>();
 
-        void sent(long key, long now) {
+        void recordAttempt(long key, long now) {
             sweep(now);
             long[] e = entries.get(key);
             if (e == null || e[1] == 4) {
-                entries.put(key, new long[] {now, 1, now + KEPT});
+                entries.put(key, new long[] {now, 1, now + TIME_TO_LIVE});
             }
         }
 
-        void ended(long key, boolean served, boolean notRun) {
+        void recordResult(long key, boolean executed, boolean notExecuted) {
             long[] e = entries.get(key);
             if (e != null) {
-                e[1] = served ? 3 : !notRun ? Math.max(e[1] == 3 ? 3 : 2, 2) : e[1] == 1 ? 4 : e[1];
+                e[1] = executed ? 3 : !notExecuted ? Math.max(e[1] == 3 ? 3 : 2, 2) : e[1] == 1 ? 4 : e[1];
             }
         }
 
-        long ranSince(long key, long now) {
+        long mayHaveExecutedSince(long key, long now) {
             sweep(now);
             long[] e = entries.get(key);
             return e == null || e[1] == 4 ? NEVER : e[0];
@@ -56,10 +56,10 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void doesAsAPlainMapWithASweep(int seed) {
+    public void behavesLikeAMapWithASweep(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         KeyRegistry registry = new KeyRegistry(10_000, seed);
-        Plain plain = new Plain();
+        ReferenceRegistry reference = new ReferenceRegistry();
         long now = 1_000_000_000;
         int compared = 0;
         for (int i = 0; i < 40_000; i++) {
@@ -68,57 +68,62 @@
             long key = registry.hash(7, "k" + random.nextInt(400));
             switch (random.nextInt(3)) {
                 case 0 -> {
-                    assertTrue(registry.sent(key, now, KEPT));
-                    plain.sent(key, now);
+                    assertTrue(registry.recordAttempt(key, now, TIME_TO_LIVE));
+                    reference.recordAttempt(key, now);
                 }
                 case 1 -> {
                     int how = random.nextInt(3);
-                    registry.ended(key, how == 0, how == 1);
-                    plain.ended(key, how == 0, how == 1);
+                    registry.recordResult(key, how == 0, how == 1);
+                    reference.recordResult(key, how == 0, how == 1);
                 }
                 default -> {
-                    assertEquals(registry.ranSince(key, now), plain.ranSince(key, now), "step " + i);
+                    assertEquals(
+                            registry.mayHaveExecutedSince(key, now),
+                            reference.mayHaveExecutedSince(key, now),
+                            "step " + i);
                     compared++;
                 }
             }
         }
         assertTrue(compared > 10_000);
-        assertEquals(registry.ranSince(registry.hash(7, "k1"), now + 60_000_000), NEVER);
+        assertEquals(registry.mayHaveExecutedSince(registry.hash(7, "k1"), now + 60_000_000), NEVER);
         assertEquals(registry.size(), 0);
     }
 
     @Test
-    public void isBoundedAndTakesKeysAgainOnceOthersHaveEnded() {
+    public void isBoundedAndAcceptsKeysAgainOnceOthersHaveExpired() {
         KeyRegistry registry = new KeyRegistry(100, 1);
         for (int i = 0; i < 100; i++) {
-            assertTrue(registry.sent(registry.hash(1, "a" + i), 1_000, KEPT));
+            assertTrue(registry.recordAttempt(registry.hash(1, "a" + i), 1_000, TIME_TO_LIVE));
         }
-        assertFalse(registry.sent(registry.hash(1, "one more"), 1_000, KEPT));
-        assertTrue(registry.sent(registry.hash(1, "a5"), 1_000, KEPT), "one that is known needs no room");
-        assertTrue(registry.sent(registry.hash(1, "one more"), 1_000 + KEPT + 20_000, KEPT));
+        assertFalse(registry.recordAttempt(registry.hash(1, "one more"), 1_000, TIME_TO_LIVE));
+        assertTrue(
+                registry.recordAttempt(registry.hash(1, "a5"), 1_000, TIME_TO_LIVE),
+                "a remembered key needs no capacity");
+        assertTrue(registry.recordAttempt(registry.hash(1, "one more"), 1_000 + TIME_TO_LIVE + 20_000, TIME_TO_LIVE));
         assertEquals(registry.size(), 1);
     }
 
     @Test
-    public void theSameKeyInTwoGroupsIsTwoKeys() {
+    public void sameKeyInTwoGroupsIsTwoKeys() {
         KeyRegistry registry = new KeyRegistry(100, 1);
-        registry.sent(registry.hash(1, "k"), 500, KEPT);
-        assertEquals(registry.ranSince(registry.hash(2, "k"), 600), NEVER);
-        assertEquals(registry.ranSince(registry.hash(1, "k"), 600), 500);
+        registry.recordAttempt(registry.hash(1, "k"), 500, TIME_TO_LIVE);
+        assertEquals(registry.mayHaveExecutedSince(registry.hash(2, "k"), 600), NEVER);
+        assertEquals(registry.mayHaveExecutedSince(registry.hash(1, "k"), 600), 500);
     }
 
-    /** A later attempt makes no window longer, and one proven not to have run ends no older doubt. */
+    /** A later attempt extends no window, and one proven not to have executed settles no earlier unknown outcome. */
     @Test
-    public void theFirstAttemptThatMayHaveRunDatesTheWindow() {
+    public void firstAttemptThatMayHaveExecutedStartsTheWindow() {
         KeyRegistry registry = new KeyRegistry(100, 1);
         long key = registry.hash(1, "k");
-        registry.sent(key, 100, KEPT);
-        registry.ended(key, false, true);
-        assertEquals(registry.ranSince(key, 150), NEVER);
-        registry.sent(key, 200, KEPT);
-        registry.ended(key, false, false);
-        registry.sent(key, 300, KEPT);
-        registry.ended(key, false, true);
-        assertEquals(registry.ranSince(key, 400), 200);
+        registry.recordAttempt(key, 100, TIME_TO_LIVE);
+        registry.recordResult(key, false, true);
+        assertEquals(registry.mayHaveExecutedSince(key, 150), NEVER);
+        registry.recordAttempt(key, 200, TIME_TO_LIVE);
+        registry.recordResult(key, false, false);
+        registry.recordAttempt(key, 300, TIME_TO_LIVE);
+        registry.recordResult(key, false, true);
+        assertEquals(registry.mayHaveExecutedSince(key, 400), 200);
     }
 }
--- a/src/test/java/crankwick/failover/LeadershipTest.java
+++ b/src/test/java/crankwick/failover/LeadershipTest.java
@@ -9,130 +9,149 @@
 import crankwick.routing.api.Role;
 import org.testng.annotations.Test;
 
-/** What moves a term, and what must not; times in microseconds. */
+/** Which evidence changes the leadership, and which must not; times in microseconds. */
 public class LeadershipTest {
-    private static final long MS = 1_000;
-    private static final long T = 1_000_000 * MS;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long START = 1_000_000 * MICROS_PER_MILLI;
 
-    private final Leadership led = new Leadership();
+    private final Leadership withoutEvidence = new Leadership();
 
-    private static LeadershipEvidence.RoleReported claim(String server, long at) {
-        return new LeadershipEvidence.RoleReported(server, Role.PRIMARY, at, at);
+    private static LeadershipEvidence.RoleReported claim(String endpointId, long at) {
+        return new LeadershipEvidence.RoleReported(endpointId, Role.PRIMARY, at, at);
     }
 
-    /** A group that "a" leads, heard at T. */
+    /** A group that "a" leads, observed at START. */
     private static Leadership ledByA() {
-        Leadership l = new Leadership();
-        assertTrue(l.take(claim("a", T), T));
-        assertEquals(l.phase(), Phase.LED);
-        return l;
+        Leadership leadership = new Leadership();
+        assertTrue(leadership.observe(claim("a", START), START));
+        assertEquals(leadership.phase(), Phase.HEALTHY);
+        return leadership;
     }
 
-    /** The same after "a" died and "b" took over at T + 5 s. */
+    /** The same after "a" failed and "b" took over at START + 5 s. */
     private static Leadership ledByB() {
-        Leadership l = ledByA();
-        l.take(new LeadershipEvidence.ConnectionRefused("a"), T + 100 * MS);
-        assertEquals(l.phase(), Phase.LEADERLESS);
-        assertTrue(l.take(claim("b", T + 5_000 * MS), T + 5_000 * MS));
-        assertEquals(l.phase(), Phase.TAKING_OVER);
-        return l;
+        Leadership leadership = ledByA();
+        leadership.observe(new LeadershipEvidence.ConnectionRefused("a"), START + 100 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.LEADERLESS);
+        assertTrue(leadership.observe(claim("b", START + 5_000 * MICROS_PER_MILLI), START + 5_000 * MICROS_PER_MILLI));
+        assertEquals(leadership.phase(), Phase.TAKING_OVER);
+        return leadership;
     }
 
     @Test
-    public void aBreakDoubtsAndALaterClaimEndsTheDoubt() {
-        Leadership l = ledByA();
-        l.take(new LeadershipEvidence.ConnectionLost("a"), T + 10 * MS);
-        assertEquals(l.phase(), Phase.DOUBTED);
-        l.take(claim("a", T + 5 * MS), T + 12 * MS);
-        assertEquals(l.phase(), Phase.DOUBTED, "said before the break");
-        l.take(claim("a", T + 15 * MS), T + 16 * MS);
-        assertEquals(l.phase(), Phase.LED);
+    public void lostConnectionSuspectsTheLeaderUntilALaterClaim() {
+        Leadership leadership = ledByA();
+        leadership.observe(new LeadershipEvidence.ConnectionLost("a"), START + 10 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.SUSPECTED);
+        leadership.observe(claim("a", START + 5 * MICROS_PER_MILLI), START + 12 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.SUSPECTED, "claimed before the connection was lost");
+        leadership.observe(claim("a", START + 15 * MICROS_PER_MILLI), START + 16 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.HEALTHY);
     }
 
     @Test
-    public void silenceTwiceVacatesSilenceOnceDoubts() {
-        Leadership l = ledByA();
-        l.take(new LeadershipEvidence.Unresponsive("a", T + 100 * MS), T + 350 * MS);
-        assertEquals(l.phase(), Phase.DOUBTED);
-        l.take(new LeadershipEvidence.Unresponsive("a", T + 400 * MS), T + 650 * MS);
-        assertEquals(l.phase(), Phase.LEADERLESS);
-        assertEquals(l.vacantSince(), T + 100 * MS);
+    public void unresponsiveTwiceEndsLeadershipOnceSuspects() {
+        Leadership leadership = ledByA();
+        leadership.observe(
+                new LeadershipEvidence.Unresponsive("a", START + 100 * MICROS_PER_MILLI),
+                START + 350 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.SUSPECTED);
+        leadership.observe(
+                new LeadershipEvidence.Unresponsive("a", START + 400 * MICROS_PER_MILLI),
+                START + 650 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.LEADERLESS);
+        assertEquals(leadership.leaderlessSince(), START + 100 * MICROS_PER_MILLI);
     }
 
     @Test
-    public void othersTroublesDoNotTouchTheLeader() {
-        Leadership l = ledByA();
-        l.take(new LeadershipEvidence.ConnectionRefused("b"), T + MS);
-        l.take(new LeadershipEvidence.ConnectionLost("c"), T + MS);
-        l.take(new LeadershipEvidence.Delisted("b"), T + MS);
-        l.take(new LeadershipEvidence.RoleReported("b", Role.REPLICA, T, T), T + MS);
-        assertEquals(l.phase(), Phase.LED);
+    public void evidenceAgainstOthersDoesNotAffectTheLeader() {
+        Leadership leadership = ledByA();
+        leadership.observe(new LeadershipEvidence.ConnectionRefused("b"), START + MICROS_PER_MILLI);
+        leadership.observe(new LeadershipEvidence.ConnectionLost("c"), START + MICROS_PER_MILLI);
+        leadership.observe(new LeadershipEvidence.Delisted("b"), START + MICROS_PER_MILLI);
+        leadership.observe(
+                new LeadershipEvidence.RoleReported("b", Role.REPLICA, START, START), START + MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.HEALTHY);
     }
 
     @Test
-    public void theReturnedPrimaryMayClaimWhatItLikes() {
-        Leadership l = ledByB();
-        long now = T + 5_100 * MS;
-        assertFalse(l.take(claim("a", T + 99 * MS), now), "its position stands where it died");
+    public void claimsOfAReplacedLeaderAreNotBelieved() {
+        Leadership leadership = ledByB();
+        long now = START + 5_100 * MICROS_PER_MILLI;
         assertFalse(
-                l.take(new LeadershipEvidence.RoleReported("a", Role.PRIMARY, AbsentValue.NONE, now), now),
+                leadership.observe(claim("a", START + 99 * MICROS_PER_MILLI), now),
+                "its position is that of its failure");
+        assertFalse(
+                leadership.observe(new LeadershipEvidence.RoleReported("a", Role.PRIMARY, AbsentValue.NONE, now), now),
                 "no position");
-        assertFalse(l.take(claim("a", now), now), "b was heard lately");
-        assertEquals(l.leader(), "b");
-        assertEquals(l.term(), 2);
+        assertFalse(leadership.observe(claim("a", now), now), "b was observed recently");
+        assertEquals(leadership.leader(), "b");
+        assertEquals(leadership.term(), 2);
     }
 
     @Test
-    public void anAnswerReadLateIsNoNews() {
-        Leadership l = ledByB();
+    public void lateReadResponsesAreOutdated() {
+        Leadership leadership = ledByB();
         assertFalse(
-                l.take(
-                        new LeadershipEvidence.RoleReported("b", Role.REPLICA, AbsentValue.NONE, T + 4_990 * MS),
-                        T + 5_020 * MS),
+                leadership.observe(
+                        new LeadershipEvidence.RoleReported(
+                                "b", Role.REPLICA, AbsentValue.NONE, START + 4_990 * MICROS_PER_MILLI),
+                        START + 5_020 * MICROS_PER_MILLI),
                 "sent before it took over");
-        assertFalse(l.take(new LeadershipEvidence.WriteRejected("b", T + 4_995 * MS), T + 5_010 * MS));
-        assertEquals(l.phase(), Phase.TAKING_OVER);
-        l.take(new LeadershipEvidence.WriteRejected("b", T + 5_200 * MS), T + 5_210 * MS);
-        assertEquals(l.phase(), Phase.LEADERLESS, "a miss that is newer than its claim");
+        assertFalse(leadership.observe(
+                new LeadershipEvidence.WriteRejected("b", START + 4_995 * MICROS_PER_MILLI),
+                START + 5_010 * MICROS_PER_MILLI));
+        assertEquals(leadership.phase(), Phase.TAKING_OVER);
+        leadership.observe(
+                new LeadershipEvidence.WriteRejected("b", START + 5_200 * MICROS_PER_MILLI),
+                START + 5_210 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.LEADERLESS, "a rejected write that is newer than its claim");
     }
 
     @Test
-    public void aDrainedPrimaryLeadsNoMoreUntilTheListHasItBack() {
-        Leadership l = ledByA();
-        l.take(new LeadershipEvidence.Delisted("a"), T + MS);
-        assertEquals(l.phase(), Phase.LEADERLESS);
-        assertTrue(l.planned());
-        assertFalse(l.take(claim("a", T + 50 * MS), T + 50 * MS), "it finishes what it has");
-        assertEquals(l.phase(), Phase.LEADERLESS);
-        l.take(new LeadershipEvidence.ListedAsUp("a"), T + 100 * MS);
-        assertEquals(l.phase(), Phase.LEADERLESS, "the list alone makes nobody lead");
-        assertTrue(l.take(claim("a", T + 150 * MS), T + 150 * MS));
-        assertEquals(l.phase(), Phase.TAKING_OVER);
+    public void delistedLeaderLeadsAgainOnlyOnceListedAndClaiming() {
+        Leadership leadership = ledByA();
+        leadership.observe(new LeadershipEvidence.Delisted("a"), START + MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.LEADERLESS);
+        assertTrue(leadership.planned());
+        assertFalse(
+                leadership.observe(claim("a", START + 50 * MICROS_PER_MILLI), START + 50 * MICROS_PER_MILLI),
+                "it only finishes its open work");
+        assertEquals(leadership.phase(), Phase.LEADERLESS);
+        leadership.observe(new LeadershipEvidence.ListedAsUp("a"), START + 100 * MICROS_PER_MILLI);
+        assertEquals(leadership.phase(), Phase.LEADERLESS, "the list alone makes no endpoint lead");
+        assertTrue(leadership.observe(claim("a", START + 150 * MICROS_PER_MILLI), START + 150 * MICROS_PER_MILLI));
+        assertEquals(leadership.phase(), Phase.TAKING_OVER);
     }
 
     @Test
-    public void twoChangesWithinThreeSeconds() {
-        Leadership l = ledByB();
-        l.take(new LeadershipEvidence.ConnectionRefused("b"), T + 5_500 * MS);
-        assertTrue(l.take(claim("c", T + 7_500 * MS), T + 7_500 * MS));
-        assertEquals(l.term(), 3);
-        l.take(new LeadershipEvidence.ConnectionRefused("c"), T + 8_000 * MS);
-        assertFalse(l.take(claim("b", T + 5_400 * MS), T + 8_000 * MS), "its claim is from before c's");
-        assertTrue(l.take(claim("b", T + 10_000 * MS), T + 10_000 * MS), "it may lead again");
-        assertEquals(l.term(), 4);
+    public void twoFailoversWithinThreeSeconds() {
+        Leadership leadership = ledByB();
+        leadership.observe(new LeadershipEvidence.ConnectionRefused("b"), START + 5_500 * MICROS_PER_MILLI);
+        assertTrue(leadership.observe(claim("c", START + 7_500 * MICROS_PER_MILLI), START + 7_500 * MICROS_PER_MILLI));
+        assertEquals(leadership.term(), 3);
+        leadership.observe(new LeadershipEvidence.ConnectionRefused("c"), START + 8_000 * MICROS_PER_MILLI);
+        assertFalse(
+                leadership.observe(claim("b", START + 5_400 * MICROS_PER_MILLI), START + 8_000 * MICROS_PER_MILLI),
+                "its claim is from before c's");
+        assertTrue(
+                leadership.observe(claim("b", START + 10_000 * MICROS_PER_MILLI), START + 10_000 * MICROS_PER_MILLI),
+                "it may lead again");
+        assertEquals(leadership.term(), 4);
     }
 
     @Test
-    public void movesKeepTheirEvidenceAndAreBounded() {
-        Leadership l = ledByA();
+    public void transitionsKeepTheirEvidenceAndAreBounded() {
+        Leadership leadership = ledByA();
         for (int i = 1; i <= 200; i++) {
-            l.take(new LeadershipEvidence.ConnectionLost("a"), T + 2 * i * MS);
-            l.take(claim("a", T + (2 * i + 1) * MS), T + (2 * i + 1) * MS);
+            leadership.observe(new LeadershipEvidence.ConnectionLost("a"), START + 2 * i * MICROS_PER_MILLI);
+            leadership.observe(
+                    claim("a", START + (2 * i + 1) * MICROS_PER_MILLI), START + (2 * i + 1) * MICROS_PER_MILLI);
         }
-        assertEquals(l.moves().size(), 32);
-        Leadership.PhaseTransition last = l.moves().get(31);
-        assertEquals(last.to(), Phase.LED);
-        assertEquals(last.why(), claim("a", T + 401 * MS));
-        assertEquals(led.phase(), Phase.UNKNOWN);
+        assertEquals(leadership.transitions().size(), 32);
+        Leadership.PhaseTransition last = leadership.transitions().get(31);
+        assertEquals(last.to(), Phase.HEALTHY);
+        assertEquals(last.evidence(), claim("a", START + 401 * MICROS_PER_MILLI));
+        assertEquals(withoutEvidence.phase(), Phase.UNKNOWN);
     }
 }
--- a/src/test/java/crankwick/failover/RequestBufferTest.java
+++ b/src/test/java/crankwick/failover/RequestBufferTest.java
@@ -9,89 +9,93 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** How long a change may yet take, and who waits for its end. */
+/** How long a failover may still take, and which requests wait for its end. */
 public class RequestBufferTest {
-    private static final long S = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private static FailoverSettings bounds(int perGroup, int perTeam, long bytesPerGroup, long bytesPerTeam) {
-        FailoverSettings d = FailoverSettings.DEFAULT;
+    private static FailoverSettings withLimits(int perGroup, int perTeam, long bytesPerGroup, long bytesPerTeam) {
+        FailoverSettings defaults = FailoverSettings.DEFAULT;
         return new FailoverSettings(
                 perGroup,
                 perTeam,
                 bytesPerGroup,
                 bytesPerTeam,
-                d.minSuccessProbability(),
-                d.initialWindow(),
-                d.keyMargin(),
-                d.maxKeys(),
-                d.keyRetention(),
-                d.unplannedMin(),
-                d.unplannedMax(),
-                d.plannedMin(),
-                d.plannedMax());
+                defaults.minSuccessProbability(),
+                defaults.initialWindow(),
+                defaults.keyMargin(),
+                defaults.maxKeys(),
+                defaults.keyRetention(),
+                defaults.unplannedMin(),
+                defaults.unplannedMax(),
+                defaults.plannedMin(),
+                defaults.plannedMax());
     }
 
     @Test
-    public void hopeFollowsThePriorThenWhatWasSeen() {
-        FailoverDurations times = new FailoverDurations(2_900_000, 6_600_000);
-        assertEquals(times.successProbability(0, 2 * S), 0.0, "no change is so short");
-        assertEquals(times.successProbability(0, 8 * S), 1.0);
-        double early = times.successProbability(0, 4 * S);
+    public void successProbabilityFollowsThePriorThenObservations() {
+        FailoverDurations durations = new FailoverDurations(2_900_000, 6_600_000);
+        assertEquals(durations.successProbability(0, 2 * MICROS_PER_SECOND), 0.0, "no failover is so short");
+        assertEquals(durations.successProbability(0, 8 * MICROS_PER_SECOND), 1.0);
+        double early = durations.successProbability(0, 4 * MICROS_PER_SECOND);
         assertTrue(early > 0.2 && early < 0.4, "" + early);
         for (int i = 0; i < 64; i++) {
-            times.add(S);
+            durations.add(MICROS_PER_SECOND);
         }
-        assertTrue(times.successProbability(0, 2 * S) > 0.7);
-        assertTrue(times.remaining(0) <= S);
+        assertTrue(durations.successProbability(0, 2 * MICROS_PER_SECOND) > 0.7);
+        assertTrue(durations.remaining(0) <= MICROS_PER_SECOND);
     }
 
-    /** A change that outlasts all experience is neither hopeless nor certain. */
+    /** A failover that outlasts all samples is neither without chance of ending soon nor certain to end. */
     @Test
-    public void beyondExperienceHopeFadesWithAge() {
-        FailoverDurations times = new FailoverDurations(490_000, S);
-        double soon = times.successProbability(2 * S, 3 * S);
-        double late = times.successProbability(60 * S, 3 * S);
+    public void successProbabilityBeyondAllSamplesFallsWithAge() {
+        FailoverDurations durations = new FailoverDurations(490_000, MICROS_PER_SECOND);
+        double soon = durations.successProbability(2 * MICROS_PER_SECOND, 3 * MICROS_PER_SECOND);
+        double late = durations.successProbability(60 * MICROS_PER_SECOND, 3 * MICROS_PER_SECOND);
         assertTrue(soon > 0.5 && soon < 0.7, "" + soon);
         assertTrue(late < 0.06, "" + late);
-        assertEquals(times.successProbability(2 * S, 0), 0.0);
+        assertEquals(durations.successProbability(2 * MICROS_PER_SECOND, 0), 0.0);
     }
 
     @Test
-    public void worthAndTimeLeftDecideWhoGoesFirst() {
-        RequestBuffer queue = new RequestBuffer(FailoverSettings.DEFAULT, new HashMap<>());
-        queue.add(new RequestBuffer.BufferedRequest(1, "t", 1, 10 * S, 10));
-        queue.add(new RequestBuffer.BufferedRequest(2, "t", 6, 10 * S, 10));
-        queue.add(new RequestBuffer.BufferedRequest(3, "t", 1, 9 * S, 10));
-        assertEquals(queue.first().ref(), 3, "its time ends first");
-        queue.remove(3);
-        assertEquals(queue.first().ref(), 2, "as late, and worth more");
-        queue.remove(2);
-        queue.remove(1);
-        assertNull(queue.first());
-        assertNull(queue.remove(1));
+    public void priorityWeightAndDeadlineDecideTheOrder() {
+        RequestBuffer buffer = new RequestBuffer(FailoverSettings.DEFAULT, new HashMap<>());
+        buffer.add(new RequestBuffer.BufferedRequest(1, "t", 1, 10 * MICROS_PER_SECOND, 10));
+        buffer.add(new RequestBuffer.BufferedRequest(2, "t", 6, 10 * MICROS_PER_SECOND, 10));
+        buffer.add(new RequestBuffer.BufferedRequest(3, "t", 1, 9 * MICROS_PER_SECOND, 10));
+        assertEquals(buffer.first().requestId(), 3, "its deadline is first");
+        buffer.remove(3);
+        assertEquals(buffer.first().requestId(), 2, "same deadline, higher weight");
+        buffer.remove(2);
+        buffer.remove(1);
+        assertNull(buffer.first());
+        assertNull(buffer.remove(1));
     }
 
     @Test
-    public void boundsHoldForGroupsTeamsAndBytes() {
-        Map<String, RequestBuffer.TeamUsage> shares = new HashMap<>();
-        FailoverSettings settings = bounds(3, 4, 100, 120);
-        RequestBuffer one = new RequestBuffer(settings, shares);
-        RequestBuffer other = new RequestBuffer(settings, shares);
-        assertTrue(one.add(new RequestBuffer.BufferedRequest(1, "a", 1, S, 40)));
-        assertTrue(one.add(new RequestBuffer.BufferedRequest(2, "a", 1, S, 40)));
-        assertFalse(one.add(new RequestBuffer.BufferedRequest(3, "a", 1, S, 40)), "bytes of the group");
-        assertTrue(one.add(new RequestBuffer.BufferedRequest(4, "b", 1, S, 5)));
-        assertFalse(one.add(new RequestBuffer.BufferedRequest(5, "b", 1, S, 5)), "requests of the group");
-        assertTrue(other.add(new RequestBuffer.BufferedRequest(6, "a", 1, S, 20)));
-        assertFalse(other.add(new RequestBuffer.BufferedRequest(7, "a", 1, S, 30)), "bytes of the team");
-        assertTrue(other.add(new RequestBuffer.BufferedRequest(8, "a", 1, S, 5)));
-        assertFalse(other.add(new RequestBuffer.BufferedRequest(9, "a", 1, S, 1)), "requests of the team");
-        for (long ref : new long[] {1, 2, 4}) {
-            one.remove(ref);
+    public void limitsHoldForGroupsTeamsAndBytes() {
+        Map<String, RequestBuffer.TeamUsage> teamUsage = new HashMap<>();
+        FailoverSettings settings = withLimits(3, 4, 100, 120);
+        RequestBuffer first = new RequestBuffer(settings, teamUsage);
+        RequestBuffer second = new RequestBuffer(settings, teamUsage);
+        assertTrue(first.add(new RequestBuffer.BufferedRequest(1, "a", 1, MICROS_PER_SECOND, 40)));
+        assertTrue(first.add(new RequestBuffer.BufferedRequest(2, "a", 1, MICROS_PER_SECOND, 40)));
+        assertFalse(
+                first.add(new RequestBuffer.BufferedRequest(3, "a", 1, MICROS_PER_SECOND, 40)), "bytes of the group");
+        assertTrue(first.add(new RequestBuffer.BufferedRequest(4, "b", 1, MICROS_PER_SECOND, 5)));
+        assertFalse(
+                first.add(new RequestBuffer.BufferedRequest(5, "b", 1, MICROS_PER_SECOND, 5)), "requests of the group");
+        assertTrue(second.add(new RequestBuffer.BufferedRequest(6, "a", 1, MICROS_PER_SECOND, 20)));
+        assertFalse(
+                second.add(new RequestBuffer.BufferedRequest(7, "a", 1, MICROS_PER_SECOND, 30)), "bytes of the team");
+        assertTrue(second.add(new RequestBuffer.BufferedRequest(8, "a", 1, MICROS_PER_SECOND, 5)));
+        assertFalse(
+                second.add(new RequestBuffer.BufferedRequest(9, "a", 1, MICROS_PER_SECOND, 1)), "requests of the team");
+        for (long requestId : new long[] {1, 2, 4}) {
+            first.remove(requestId);
         }
-        other.remove(6);
-        other.remove(8);
-        assertTrue(shares.isEmpty(), "nothing is kept of teams that hold nothing");
-        assertEquals(one.bytes() + other.bytes() + one.size() + other.size(), 0);
+        second.remove(6);
+        second.remove(8);
+        assertTrue(teamUsage.isEmpty(), "no usage is kept for teams without buffered requests");
+        assertEquals(first.bytes() + second.bytes() + first.size() + second.size(), 0);
     }
 }
