--- a/src/main/java/crankwick/broker/AbandonReason.java
+++ b/src/main/java/crankwick/broker/AbandonReason.java
@@ -1,9 +1,9 @@
 package crankwick.broker;
 
-/** How a client made known that it no longer wants an answer. */
+/** How a client showed that it no longer wants an answer. */
 public enum AbandonReason {
-    /** Its connection has ended. */
+    /** Its connection was closed. */
     CLOSED,
-    /** It has cancelled what it asked, and its connection stays. */
+    /** It cancelled the request; its connection stays open. */
     CANCELLED
 }
--- /dev/null
+++ b/src/main/java/crankwick/broker/ActiveRequests.java
@@ -0,0 +1,45 @@
+package crankwick.broker;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+
+/** All requests that are not finished, and the identifiers that their clients gave them. */
+final class ActiveRequests {
+    private final Map<Long, ActiveRequest> byId = new HashMap<>();
+    private final Set<String> clientRequestIds = new HashSet<>();
+
+    /** A request by the broker's number; null if it is finished. */
+    ActiveRequest find(long requestId) {
+        return byId.get(requestId);
+    }
+
+    boolean isClientRequestIdInUse(String clientRequestId) {
+        return clientRequestIds.contains(clientRequestId);
+    }
+
+    void add(ActiveRequest request) {
+        byId.put(request.id(), request);
+        clientRequestIds.add(request.request().clientRequestId());
+    }
+
+    /** Removes a request; false if it was removed before. */
+    boolean remove(ActiveRequest request) {
+        boolean removed = byId.remove(request.id()) != null;
+        if (removed) {
+            clientRequestIds.remove(request.request().clientRequestId());
+        }
+        return removed;
+    }
+
+    Collection<ActiveRequest> all() {
+        return byId.values();
+    }
+
+    /** How many requests are still owed an answer. */
+    long unanswered() {
+        return byId.values().stream().filter(request -> !request.isCompleted()).count();
+    }
+}
--- a/src/main/java/crankwick/broker/BrokerEvent.java
+++ b/src/main/java/crankwick/broker/BrokerEvent.java
@@ -7,18 +7,18 @@
 import crankwick.routing.api.Role;
 import java.util.List;
 
-/** What the broker is told. */
+/** An event that the broker reduces. */
 public sealed interface BrokerEvent {
-    /** A caller's request has come in whole. */
+    /** A client's request has been received completely. */
     record RequestReceived(ClientRequest request) implements BrokerEvent {}
 
-    /** The caller has gone; no answer is owed. */
+    /** The client has left; no answer is owed. */
     record RequestAbandoned(long requestId, AbandonReason reason) implements BrokerEvent {}
 
     /** The last byte of an attempt has been written. */
     record AttemptWritten(long requestId, int attempt) implements BrokerEvent {}
 
-    /** An attempt has ended; {@code value} counts where the result is OK. */
+    /** An attempt has ended; {@code value} is of meaning only where the result is OK. */
     record AttemptEnded(
             long requestId,
             int attempt,
@@ -30,19 +30,19 @@
             byte[] value)
             implements BrokerEvent {}
 
-    /** A probe has ended. */
+    /** A health check has ended. */
     record HealthCheckEnded(String endpointId, AttemptResult result, long duration, LoadReport report)
             implements BrokerEvent {}
 
-    /** News of the list of databases. */
+    /** The endpoint list, or a part of it, has been received. */
     record EndpointsUpdated(EndpointUpdateKind kind, List<Endpoint> endpoints) implements BrokerEvent {}
 
-    /** A timer that the decision module armed. */
+    /** A timer that the router scheduled has fired. */
     record RoutingTimerFired(long timerId) implements BrokerEvent {}
 
-    /** What is held for changes of primaries is to be looked at. */
+    /** The timer that the failover coordinator scheduled has fired. */
     record FailoverTimerFired() implements BrokerEvent {}
 
-    /** A request's caller has now waited as long as it will. */
+    /** A request's deadline has been reached, or its attempt's grace period after that is over. */
     record DeadlineReached(long requestId) implements BrokerEvent {}
 }
--- a/src/main/java/crankwick/broker/Effect.java
+++ b/src/main/java/crankwick/broker/Effect.java
@@ -1,11 +1,11 @@
 package crankwick.broker;
 
-/** What the broker asks for; effects are carried out in the order given. */
+/** What is to be carried out after a reduction; effects are carried out in the order given. */
 public sealed interface Effect {
     /**
-     * Send a request to a database; it should wait until {@code expiresAt} at most. Not a byte may be written
-     * from {@code startBefore} on: the client has given up by then, or the window in which databases discard
-     * repeats of an attempt that may have run is over.
+     * Send a request to a database, which has until {@code expiresAt}. Not a byte may be written from
+     * {@code startBefore} on: the client has given up by then, or the window in which databases discard repeats of
+     * an attempt that may have executed is over.
      */
     record SendAttempt(long requestId, int attempt, String endpointId, long expiresAt, long startBefore)
             implements Effect {}
@@ -16,13 +16,13 @@
     /** End an attempt of which nothing has been written yet; one that has begun goes on. */
     record CancelQueued(long requestId) implements Effect {}
 
-    /** Give the caller its final answer. */
+    /** Give the client its final answer. */
     record SendReply(long requestId, Reply reply) implements Effect {}
 
-    /** Ask a database for its report. */
+    /** Request a load report of a database. */
     record CheckHealth(String endpointId) implements Effect {}
 
-    /** Tell the broker {@code event} after so many microseconds. */
+    /** Have the broker reduce {@code event} after {@code delay} microseconds. */
     record ScheduleTimer(long delay, BrokerEvent event) implements Effect {}
 
     /** A line for the operators. */
--- a/src/main/java/crankwick/broker/Reply.java
+++ b/src/main/java/crankwick/broker/Reply.java
@@ -1,12 +1,12 @@
 package crankwick.broker;
 
-/** A request's one final answer, for any wire to word. */
+/** A request's one final answer, which each protocol encodes in its own way. */
 public sealed interface Reply {
     /**
-     * Why a request was refused or failed: each reason has its own number on a wire that has numbers.
-     * NO_PRIMARY: its group changes primaries, for longer than it can wait. KEY_IN_DOUBT: it may have run,
-     * and its key's window is over. OVER_KEYS: no room to remember another key.
-     * OVER_OPEN_COMMANDS: its connection has too many commands, or too large ones, not answered.
+     * Why a request was rejected or failed: each reason has its own number in a protocol that has numbers.
+     * NO_PRIMARY: its group's failover takes longer than it can wait. KEY_IN_DOUBT: it may have executed, and its
+     * key's window is over. OVER_KEYS: no further key can be remembered. OVER_OPEN_COMMANDS: its connection has too
+     * many unanswered commands, or too large ones.
      */
     enum Reason {
         GIVEN_UP,
@@ -21,10 +21,10 @@
         OVER_OPEN_COMMANDS
     }
 
-    /** Served with the value as a database gave it (null is SQL's NULL), and the position it told. */
+    /** Served with the value that a database returned (null is SQL's NULL), and the position that it reported. */
     record Served(byte[] value, boolean write, long position) implements Reply {}
 
-    /** Refused: nothing ran that matters; {@code retryAfter} in microseconds, 0 for no word on it. */
+    /** Rejected: a retry is harmless; {@code retryAfter} in microseconds, 0 where absent. */
     record Rejected(Reason reason, long retryAfter) implements Reply {}
 
     /** Failed: it may or may not have had an effect. */
--- a/src/main/java/crankwick/broker/RequestHistory.java
+++ b/src/main/java/crankwick/broker/RequestHistory.java
@@ -8,37 +8,37 @@
 final class RequestHistory {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** One attempt; 0 stands for a transition that has not come. */
+    /** One attempt; 0 stands for a transition that has not happened. */
     private static final class Attempt {
-        final String server;
+        final String endpointId;
         final long sentAt;
         long writtenAt;
         long endedAt;
         AttemptResult result;
 
-        Attempt(String server, long sentAt) {
-            this.server = server;
+        Attempt(String endpointId, long sentAt) {
+            this.endpointId = endpointId;
             this.sentAt = sentAt;
         }
     }
 
-    private final String id;
-    private final int requestClass;
-    private final long takenAt;
+    private final String clientRequestId;
+    private final int classIndex;
+    private final long receivedAt;
     private final List<Attempt> attempts = new ArrayList<>(1);
-    private AbandonReason leaveCause;
-    private long leftAt;
+    private AbandonReason abandonReason;
+    private long abandonedAt;
     private Reply reply;
     private long answeredAt;
 
-    RequestHistory(ClientRequest call, long takenAt) {
-        id = call.clientRequestId();
-        requestClass = call.classIndex();
-        this.takenAt = takenAt;
+    RequestHistory(ClientRequest request, long receivedAt) {
+        clientRequestId = request.clientRequestId();
+        classIndex = request.classIndex();
+        this.receivedAt = receivedAt;
     }
 
-    void sent(String server, long now) {
-        attempts.add(new Attempt(server, now));
+    void sent(String endpointId, long now) {
+        attempts.add(new Attempt(endpointId, now));
     }
 
     void written(long now) {
@@ -50,13 +50,13 @@
         last().endedAt = now;
     }
 
-    void left(AbandonReason cause, long now) {
-        leaveCause = cause;
-        leftAt = now;
+    void abandoned(AbandonReason reason, long now) {
+        abandonReason = reason;
+        abandonedAt = now;
     }
 
-    void answered(Reply given, long now) {
-        reply = given;
+    void answered(Reply finalReply, long now) {
+        reply = finalReply;
         answeredAt = now;
     }
 
@@ -64,20 +64,21 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** False for a request that its first attempt served. */
+    /** False for a request that was served by its first attempt. */
     boolean isNotable() {
         return attempts.size() > 1 || !(reply instanceof Reply.Served);
     }
 
-    /** All transitions, in milliseconds since the request was taken. */
+    /** All transitions, in milliseconds since the request was received. */
     String line() {
-        StringBuilder line = new StringBuilder("request id=").append(id).append(" class=");
-        line.append(requestClass);
-        if (leaveCause != null) {
-            line.append(" client=").append(leaveCause).append('@').append(sinceTaken(leftAt));
+        StringBuilder line =
+                new StringBuilder("request id=").append(clientRequestId).append(" class=");
+        line.append(classIndex);
+        if (abandonReason != null) {
+            line.append(" client=").append(abandonReason).append('@').append(millisSinceReceived(abandonedAt));
         }
         if (reply != null) {
-            line.append(" answer=").append(name(reply)).append('@').append(sinceTaken(answeredAt));
+            line.append(" answer=").append(name(reply)).append('@').append(millisSinceReceived(answeredAt));
         }
         line.append(" attempts=").append(attempts.size());
         for (Attempt attempt : attempts) {
@@ -87,23 +88,23 @@
     }
 
     private void append(StringBuilder line, Attempt attempt) {
-        line.append(" [").append(attempt.server).append(" sent@").append(sinceTaken(attempt.sentAt));
+        line.append(" [").append(attempt.endpointId).append(" sent@").append(millisSinceReceived(attempt.sentAt));
         if (attempt.writtenAt > 0) {
-            line.append(" written@").append(sinceTaken(attempt.writtenAt));
+            line.append(" written@").append(millisSinceReceived(attempt.writtenAt));
         }
         if (attempt.result != null) {
-            line.append(' ').append(attempt.result).append('@').append(sinceTaken(attempt.endedAt));
+            line.append(' ').append(attempt.result).append('@').append(millisSinceReceived(attempt.endedAt));
         }
         line.append(']');
     }
 
-    private long sinceTaken(long time) {
-        return (time - takenAt) / MICROS_PER_MILLI;
+    private long millisSinceReceived(long time) {
+        return (time - receivedAt) / MICROS_PER_MILLI;
     }
 
     private static String name(Reply reply) {
-        if (reply instanceof Reply.Rejected refused) {
-            return "refused:" + refused.reason();
+        if (reply instanceof Reply.Rejected rejected) {
+            return "refused:" + rejected.reason();
         }
         return reply instanceof Reply.Failed failed ? "failed:" + failed.reason() : "served";
     }
--- a/src/main/java/crankwick/broker/RequestHistoryLog.java
+++ b/src/main/java/crankwick/broker/RequestHistoryLog.java
@@ -1,6 +1,6 @@
 package crankwick.broker;
 
-/** Lets the histories of notable requests into the log, so many a second; counts those that it leaves out. */
+/** Logs the histories of notable requests at a limited rate; counts those that it omits. */
 final class RequestHistoryLog {
     private static final long WINDOW_MICROS = 1_000_000;
     private static final int LINES_PER_WINDOW = 20;
@@ -9,7 +9,7 @@
     private int lines;
     private long omitted;
 
-    /** The line for a request that is over; null where there is none. */
+    /** The line for a finished request; null where there is none. */
     String lineFor(RequestHistory history, long now) {
         if (!history.isNotable()) {
             return null;
--- a/src/test/java/crankwick/broker/RequestHistoryTest.java
+++ b/src/test/java/crankwick/broker/RequestHistoryTest.java
@@ -25,7 +25,7 @@
     @Test
     public void eachTransitionIsToldInMillisecondsSinceTheRequestWasTaken() {
         RequestHistory history = sentOnce();
-        history.left(AbandonReason.CLOSED, 107 * MS);
+        history.abandoned(AbandonReason.CLOSED, 107 * MS);
         history.ended(AttemptResult.RESET, 439 * MS);
         history.sent("s-2", 440 * MS);
         assertEquals(
