--- /dev/null
+++ b/src/test/java/crankwick/failover/ReleaseWindowTest.java
@@ -0,0 +1,77 @@
+package crankwick.failover;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+
+import crankwick.routing.api.AttemptResult;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/** How many requests are released to a new leader at once. */
+public class ReleaseWindowTest {
+    private static final long LATENCY_OBJECTIVE = 100_000;
+    private static final long IN_TIME = 45_000;
+    private static final long LATE = IN_TIME + 1;
+
+    private ReleaseWindow window;
+
+    @BeforeMethod
+    public void createWindowOfFour() {
+        window = new ReleaseWindow();
+        window.reset(4);
+    }
+
+    /** Takes all capacity that is left. */
+    private int capacity() {
+        int acquired = 0;
+        while (window.hasCapacity()) {
+            window.acquire();
+            acquired++;
+        }
+        return acquired;
+    }
+
+    @Test
+    public void isClosedBeforeTheFirstLeader() {
+        assertFalse(new ReleaseWindow().hasCapacity());
+    }
+
+    @Test
+    public void growsByOneWithEachAttemptInTime() {
+        assertEquals(capacity(), 4);
+        window.onAttemptEnded(AttemptResult.OK, IN_TIME, LATENCY_OBJECTIVE);
+        assertEquals(capacity(), 1);
+    }
+
+    @Test
+    public void shrinksWithLateAndRejectedAttempts() {
+        window.onAttemptEnded(AttemptResult.OK, LATE, LATENCY_OBJECTIVE);
+        assertEquals(capacity(), 3, "2.8 of 4");
+        window.reset(4);
+        window.onAttemptEnded(AttemptResult.REJECTED_OVERLOADED, IN_TIME, LATENCY_OBJECTIVE);
+        assertEquals(capacity(), 3, "2.8 of 4");
+    }
+
+    @Test
+    public void neverShrinksBelowOne() {
+        for (int i = 0; i < 20; i++) {
+            window.onAttemptEnded(AttemptResult.REJECTED_OVERLOADED, IN_TIME, LATENCY_OBJECTIVE);
+        }
+        assertEquals(capacity(), 1);
+    }
+
+    @Test
+    public void finishedRequestsReturnTheirPlace() {
+        assertEquals(capacity(), 4);
+        window.release();
+        window.release();
+        assertEquals(capacity(), 2);
+    }
+
+    @Test
+    public void startsAnewForANewLeader() {
+        assertEquals(capacity(), 4);
+        window.reset(4);
+        assertEquals(capacity(), 4);
+    }
+}
