--- a/src/main/java/crankwick/broker/BrokerCounters.java
+++ b/src/main/java/crankwick/broker/BrokerCounters.java
@@ -48,7 +48,7 @@
     /** One line for the operators. */
     @Override
     public String toString() {
-        return "taken=" + received + " sent=" + sent + " probes=" + healthChecks + " served=" + served + " refused="
-                + rejected + " failed=" + failed + " left=" + abandoned + " outcomes=" + outcomes;
+        return "received=" + received + " sent=" + sent + " health_checks=" + healthChecks + " served=" + served
+                + " rejected=" + rejected + " failed=" + failed + " abandoned=" + abandoned + " outcomes=" + outcomes;
     }
 }
--- a/src/main/java/crankwick/broker/RequestHistory.java
+++ b/src/main/java/crankwick/broker/RequestHistory.java
@@ -104,7 +104,7 @@
 
     private static String name(Reply reply) {
         if (reply instanceof Reply.Rejected rejected) {
-            return "refused:" + rejected.reason();
+            return "rejected:" + rejected.reason();
         }
         return reply instanceof Reply.Failed failed ? "failed:" + failed.reason() : "served";
     }
--- a/src/main/java/crankwick/failover/FailoverCounters.java
+++ b/src/main/java/crankwick/failover/FailoverCounters.java
@@ -30,8 +30,10 @@
     /** One line for the operators. */
     @Override
     public String toString() {
-        return "changes=" + failovers + " held=" + buffered + " held_max=" + maxBuffered + " released=" + released
-                + " hopeless=" + recoveryUnlikely + " over_bounds=" + limitExceeded + " withdrawn=" + attemptsCancelled
-                + " windows_over=" + keyWindowsExpired + " retries_failed=" + retriesFailed;
+        return "failovers=" + failovers + " buffered=" + buffered + " buffered_max=" + maxBuffered + " released="
+                + released
+                + " recovery_unlikely=" + recoveryUnlikely + " limit_exceeded=" + limitExceeded + " attempts_cancelled="
+                + attemptsCancelled
+                + " key_windows_expired=" + keyWindowsExpired + " retries_failed=" + retriesFailed;
     }
 }
--- a/src/test/java/crankwick/app/ClientsIT.java
+++ b/src/test/java/crankwick/app/ClientsIT.java
@@ -236,7 +236,7 @@
             assertEquals(idle.answer().kind(), "CLOSED");
             String counters = d.end();
             assertTrue(
-                    counters.contains("taken=4 sent=4") && counters.contains("served=4 refused={} failed={}"),
+                    counters.contains("received=4 sent=4") && counters.contains("served=4 rejected={} failed={}"),
                     counters);
             kept(d);
         }
