--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -3,7 +3,7 @@
 import crankwick.model.GroupModel;
 import crankwick.model.ModelEffect;
 import crankwick.model.ModelEvent;
-import crankwick.model.ModelEvent.Trouble.Kind;
+import crankwick.model.ModelEvent.FaultInjected.Kind;
 import crankwick.model.ModelSettings;
 import crankwick.net.ClientMessage;
 import crankwick.net.ClientReply;
@@ -82,7 +82,7 @@
 
     private final CodecFilter codec;
     private final EmulatedEndpointList list;
-    private final ModelSettings figures = ModelSettings.SITE;
+    private final ModelSettings figures = ModelSettings.DEFAULT;
     private final Transport transport = new Transport();
     private final EventLoop loop = new EventLoop("emulate");
     private final Clock clock = new Clock();
@@ -135,7 +135,7 @@
             changesLeft--;
             Group g = well.get(random.nextInt(well.size()));
             int leader = g.model.leader();
-            befall(g, leader, new Kind[] {Kind.DIE, Kind.HANG, Kind.DRAIN}[random.nextInt(3)]);
+            befall(g, leader, new Kind[] {Kind.CRASH, Kind.HANG, Kind.DRAIN}[random.nextInt(3)]);
             loop.after(random.nextLong(600_000, 6_000_000), () -> comeBack(g, leader));
         }
         loop.after(every, () -> nextTrouble(every));
@@ -144,7 +144,7 @@
     /** Somebody leads, and all members are there to take over. */
     private boolean isWell(Group g) {
         for (int m = 0; m < figures.members(); m++) {
-            if (!g.model.answers(m) || g.model.drains(m)) {
+            if (!g.model.isResponsive(m) || g.model.isDraining(m)) {
                 return false;
             }
         }
@@ -152,28 +152,28 @@
     }
 
     private void comeBack(Group g, int m) {
-        if (g.model.drains(m) && (g.model.leader() == m || g.model.leader() < 0)) {
+        if (g.model.isDraining(m) && (g.model.leader() == m || g.model.leader() < 0)) {
             loop.after(500_000, () -> comeBack(g, m));
             return;
         }
-        befall(g, m, Kind.RETURN);
+        befall(g, m, Kind.RESTART);
     }
 
     private void befall(Group g, int m, Kind kind) {
         LOG.info("group {} member {}: {}", g.id, m, kind);
         long started = g.model.startedAt(m);
-        tell(g, new ModelEvent.Trouble(kind, m));
+        tell(g, new ModelEvent.FaultInjected(kind, m));
         try {
-            if (g.model.refuses(m) || g.model.startedAt(m) != started) {
+            if (g.model.refusesConnections(m) || g.model.startedAt(m) != started) {
                 close(g, m);
             }
-            if (!g.model.refuses(m) && !g.listeners[m].isOpen()) {
+            if (!g.model.refusesConnections(m) && !g.listeners[m].isOpen()) {
                 listen(g, m);
             }
         } catch (IOException e) {
             LOG.warn("group {} member {} can't listen again", g.id, m, e);
         }
-        if (kind == Kind.RETURN) {
+        if (kind == Kind.RESTART) {
             links.values().stream()
                     .filter(l -> l.group == g && l.member == m && l.loginWaits)
                     .toList()
@@ -197,7 +197,7 @@
 
     private void onMessage(Link link, ClientMessage message) {
         if (message instanceof ClientMessage.Login) {
-            if (link.group.model.answers(link.member)) {
+            if (link.group.model.isResponsive(link.member)) {
                 welcome(link);
             } else {
                 link.loginWaits = true;
@@ -219,7 +219,7 @@
         byRef.put(link.ref, link);
         link.probe = !text.startsWith("/*");
         if (link.probe) {
-            tell(link.group, new ModelEvent.Probe(link.ref, link.member));
+            tell(link.group, new ModelEvent.HealthCheckReceived(link.ref, link.member));
             return;
         }
         try {
@@ -237,7 +237,7 @@
             }
             tell(
                     link.group,
-                    new ModelEvent.Query(
+                    new ModelEvent.QueryReceived(
                             link.ref,
                             link.member,
                             statement.idempotencyKey(),
@@ -260,7 +260,7 @@
         links.remove(link.connection);
         if (link.ref != 0 && byRef.remove(link.ref) != null) {
             inFlight.remove(link.id, link);
-            tell(link.group, new ModelEvent.Dropped(link.ref));
+            tell(link.group, new ModelEvent.ConnectionClosed(link.ref));
         }
     }
 
@@ -270,13 +270,13 @@
         List<ModelEffect> effects = new ArrayList<>(2);
         g.model.handle(event, clock.now(), effects::add);
         effects.forEach(effect -> onEffect(g, effect));
-        long due = g.model.nextDue();
+        long due = g.model.nextTimerDue();
         if (due < g.dueAt) {
             g.dueAt = due;
             loop.after(Math.max(0, due - clock.now()), () -> {
                 if (g.dueAt == due) {
                     g.dueAt = Long.MAX_VALUE;
-                    tell(g, new ModelEvent.Due());
+                    tell(g, new ModelEvent.TimerDue());
                 }
             });
         }
@@ -285,33 +285,33 @@
     private void onEffect(Group g, ModelEffect effect) {
         if (effect instanceof ModelEffect.Answered e) {
             answer(e);
-        } else if (effect instanceof ModelEffect.Broken e) {
-            Link link = byRef.get(e.ref());
+        } else if (effect instanceof ModelEffect.ConnectionBroken e) {
+            Link link = byRef.get(e.exchangeId());
             if (link != null) {
                 link.connection.terminateSilently();
-                byRef.remove(e.ref());
+                byRef.remove(e.exchangeId());
                 inFlight.remove(link.id, link);
             }
-        } else if (effect instanceof ModelEffect.Applied e) {
-            ledger.applied(e.key(), 1);
-        } else if (effect instanceof ModelEffect.Undone e) {
-            ledger.applied(e.key(), -1);
-        } else if (effect instanceof ModelEffect.Vacant e) {
-            LOG.info("group {} is vacant after member {}", g.id, e.old());
+        } else if (effect instanceof ModelEffect.WriteApplied e) {
+            ledger.applied(e.idempotencyKey(), 1);
+        } else if (effect instanceof ModelEffect.WriteRolledBack e) {
+            ledger.applied(e.idempotencyKey(), -1);
+        } else if (effect instanceof ModelEffect.LeaderLost e) {
+            LOG.info("group {} is vacant after member {}", g.id, e.previousLeader());
             ledger.vacant(g.id, clock.now(), e.planned());
-        } else if (effect instanceof ModelEffect.Led e) {
+        } else if (effect instanceof ModelEffect.LeaderElected e) {
             LOG.info("group {} is led by member {}", g.id, e.member());
             ledger.led(
                     g.id,
                     clock.now(),
                     e.member() != g.lastLeader,
-                    clock.now() < g.model.startedAt(e.member()) + figures.ramp());
+                    clock.now() < g.model.startedAt(e.member()) + figures.warmUpMicros());
             g.lastLeader = e.member();
             loop.after(random.nextLong(2_800_000, 4_900_000), () -> {
                 list.set(entries(g, e.member()));
                 list.publish();
             });
-        } else if (effect instanceof ModelEffect.Fell e) {
+        } else if (effect instanceof ModelEffect.MemberCollapsed e) {
             LOG.warn("group {} member {} fell over", g.id, e.member());
             ledger.fell();
             close(g, e.member());
@@ -319,7 +319,7 @@
     }
 
     private void answer(ModelEffect.Answered e) {
-        Link link = byRef.remove(e.ref());
+        Link link = byRef.remove(e.exchangeId());
         if (link == null) {
             return;
         }
@@ -335,7 +335,7 @@
         for (int m = 0; m < figures.members(); m++) {
             Role role = primary < 0 ? Role.UNKNOWN : m == primary ? Role.PRIMARY : Role.REPLICA;
             all.add(new EmulatedEndpointList.Entry(
-                    "g" + g.id + "m" + m, g.ports[m], g.id, role, g.model.drains(m), g.model.startedAt(m) / 1_000));
+                    "g" + g.id + "m" + m, g.ports[m], g.id, role, g.model.isDraining(m), g.model.startedAt(m) / 1_000));
         }
         return all;
     }
--- /dev/null
+++ b/src/main/java/crankwick/model/MemberResponder.java
@@ -0,0 +1,69 @@
+package crankwick.model;
+
+import crankwick.routing.api.AttemptResult;
+import crankwick.routing.api.LoadReport;
+import crankwick.routing.api.Role;
+
+/** Answers statements and health checks of a member with its role, position and load. */
+final class MemberResponder {
+    private final ModelSettings settings;
+    private final ModelContext context;
+    private final Leadership leadership;
+    private final ReplicationLog log;
+
+    MemberResponder(ModelSettings settings, ModelContext context, Leadership leadership, ReplicationLog log) {
+        this.settings = settings;
+        this.context = context;
+        this.leadership = leadership;
+        this.log = log;
+    }
+
+    /** Answers a statement, unless its connection has ended. A committed write's position is the present. */
+    void answer(Member member, StatementExecution statement, AttemptResult result) {
+        member.workload().markAnswered(statement);
+        if (!statement.isAbandoned()) {
+            boolean committed = statement.isWrite() && result == AttemptResult.OK;
+            long position = committed ? context.now() : position(member);
+            emitAnswer(statement.query().exchangeId(), member, result, position);
+        }
+    }
+
+    void answerHealthCheck(Member member, long exchangeId) {
+        emitAnswer(exchangeId, member, AttemptResult.OK, position(member));
+    }
+
+    private void emitAnswer(long exchangeId, Member member, AttemptResult result, long position) {
+        context.emit(new ModelEffect.Answered(
+                exchangeId, member.index(), result, role(member), position, loadReport(member)));
+    }
+
+    /**
+     * The position up to which a member has seen all writes, in microseconds: the present at the leader, the
+     * loss of leadership at a deposed one, and just before the first entry to be applied at a replica.
+     */
+    long position(Member member) {
+        ReplicaProgress progress = member.progress();
+        if (leadership.isLeader(member)) {
+            leadership.heartbeat(context.now());
+            return progress.reportNow(context.now());
+        }
+        if (member.claimsPrimary()) {
+            return progress.report(progress.positionAtLeadershipLoss());
+        }
+        if (progress.applied() < log.end()) {
+            return progress.report(log.get(progress.applied()).committedAt() - 1);
+        }
+        long heardOf = leadership.hasLeader() ? context.now() : leadership.lastHeartbeatAt();
+        return progress.report(heardOf - settings.replicationDelay().maxMicros());
+    }
+
+    private static Role role(Member member) {
+        return member.claimsPrimary() ? Role.PRIMARY : Role.REPLICA;
+    }
+
+    private LoadReport loadReport(Member member) {
+        MemberWorkload workload = member.workload();
+        return new LoadReport(
+                position(member), role(member), workload.queueLength(), workload.utilization(), Double.NaN);
+    }
+}
--- a/src/main/java/crankwick/model/ModelEvent.java
+++ b/src/main/java/crankwick/model/ModelEvent.java
@@ -1,40 +1,44 @@
 package crankwick.model;
 
-/** What a group of databases is told; members count from 0, and refs are the host's, never used twice. */
+/**
+ * What a group of databases is told. Members count from 0; an exchange is one statement or health check, whose
+ * id the host never uses twice.
+ */
 public sealed interface ModelEvent {
     /**
      * A statement's last byte has arrived.
      *
-     * @param key a write's idempotency key; null for a read
-     * @param mustSee the position that a read must see, in microseconds; 0 for none
+     * @param idempotencyKey of a write; null for a read
+     * @param requiredPosition the position that a read must see, in microseconds; 0 for none
      */
-    record Query(long ref, int member, String key, long mustSee) implements ModelEvent {
+    record QueryReceived(long exchangeId, int member, String idempotencyKey, long requiredPosition)
+            implements ModelEvent {
         boolean isWrite() {
-            return key != null;
+            return idempotencyKey != null;
         }
     }
 
-    /** A question for the load report has arrived. */
-    record Probe(long ref, int member) implements ModelEvent {}
+    /** A health check, which asks for the load report, has arrived. */
+    record HealthCheckReceived(long exchangeId, int member) implements ModelEvent {}
 
-    /** The connection that a statement or a probe came on has ended. */
-    record Dropped(long ref) implements ModelEvent {}
+    /** The connection of an exchange has ended. */
+    record ConnectionClosed(long exchangeId) implements ModelEvent {}
 
-    /** Something happens to a member. */
-    record Trouble(Kind kind, int member) implements ModelEvent {
-        /**
-         * DIE: the process ends, connections break, new ones are refused. HANG: nothing answers, connections
-         * stay. DRAIN: new work is turned away; a primary hands over. RETURN: a dead or drained process
-         * starts again, cold; a hung one goes on where it was.
-         */
+    /** A fault of a member's process begins, or is over. */
+    record FaultInjected(Kind kind, int member) implements ModelEvent {
+        /** The kinds of faults, and their end. */
         public enum Kind {
-            DIE,
+            /** The process ends: its connections break, and new ones are refused. */
+            CRASH,
+            /** Nothing is answered, and connections stay. */
             HANG,
+            /** New work is rejected; a leader hands over. */
             DRAIN,
-            RETURN
+            /** A process that is down or has drained starts again, cold; a hung one goes on where it was. */
+            RESTART
         }
     }
 
-    /** The time that {@link GroupModel#nextDue} gave has come. */
-    record Due() implements ModelEvent {}
+    /** The time that {@link GroupModel#nextTimerDue} gave has come. */
+    record TimerDue() implements ModelEvent {}
 }
--- /dev/null
+++ b/src/main/java/crankwick/model/StatementExecutor.java
@@ -0,0 +1,105 @@
+package crankwick.model;
+
+import crankwick.routing.api.AttemptResult;
+
+/** Queues statements at a member and executes them on its cores. */
+final class StatementExecutor {
+    /** How often a finished core looks whether its hung process goes on. */
+    private static final long HUNG_RECHECK_MICROS = 200_000;
+    /** How often a waiting read looks whether its position is reached. */
+    private static final long READ_RECHECK_MICROS = 1_000;
+
+    private static final long MIN_WORK_MICROS = 100;
+
+    private final ModelSettings settings;
+    private final ModelContext context;
+    private final Leadership leadership;
+    private final MemberResponder responder;
+    private final Replication replication;
+
+    StatementExecutor(
+            ModelSettings settings,
+            ModelContext context,
+            Leadership leadership,
+            MemberResponder responder,
+            Replication replication) {
+        this.settings = settings;
+        this.context = context;
+        this.leadership = leadership;
+        this.responder = responder;
+        this.replication = replication;
+    }
+
+    /** Mean work of a statement on a warm core, in microseconds. */
+    long meanWork(ModelEvent.QueryReceived query) {
+        return query.isWrite() ? settings.meanWriteWorkMicros() : settings.meanReadWorkMicros();
+    }
+
+    /** Rejects a statement, or queues it at a member that is up. */
+    void submit(Member member, StatementExecution statement) {
+        if (member.isDraining() || member.workload().queueLength() >= settings.maxQueuedStatements()) {
+            responder.answer(member, statement, AttemptResult.REJECTED_OVERLOADED);
+        } else if (statement.isWrite() && !member.claimsPrimary()) {
+            responder.answer(member, statement, AttemptResult.INELIGIBLE_REPLICA);
+        } else {
+            member.workload().enqueue(statement);
+            startQueued(member);
+        }
+    }
+
+    /** Starts queued statements on the free cores of a member, while it is up. */
+    void startQueued(Member member) {
+        while (member.isUp()) {
+            StatementExecution statement = member.workload().startNext();
+            if (statement == null) {
+                return;
+            }
+            execute(member, statement);
+        }
+    }
+
+    private void execute(Member member, StatementExecution statement) {
+        long mean = meanWork(statement.query());
+        long work = (long)
+                (-mean * Math.log(1 - context.drawShare()) / member.warmUp().capacity(context.now()));
+        long incarnation = member.startedAt();
+        context.scheduleAfter(Math.max(MIN_WORK_MICROS, work), () -> onExecuted(member, statement, incarnation));
+    }
+
+    /** A core is done with a statement; one that hung meanwhile is done when its process goes on. */
+    private void onExecuted(Member member, StatementExecution statement, long incarnation) {
+        if (member.startedAt() != incarnation || member.refusesConnections()) {
+            return;
+        }
+        if (member.isHung()) {
+            context.scheduleAfter(HUNG_RECHECK_MICROS, () -> onExecuted(member, statement, incarnation));
+            return;
+        }
+        member.workload().releaseCore();
+        if (statement.isWrite()) {
+            completeWrite(member, statement);
+        } else {
+            completeRead(member, statement, context.now() + settings.readWaitMicros());
+        }
+        startQueued(member);
+    }
+
+    private void completeRead(Member member, StatementExecution statement, long waitUntil) {
+        if (responder.position(member) >= statement.query().requiredPosition()) {
+            responder.answer(member, statement, AttemptResult.OK);
+        } else if (context.now() >= waitUntil || statement.isAbandoned()) {
+            responder.answer(member, statement, AttemptResult.INELIGIBLE_REPLICA);
+        } else {
+            context.scheduleAfter(READ_RECHECK_MICROS, () -> completeRead(member, statement, waitUntil));
+        }
+    }
+
+    private void completeWrite(Member member, StatementExecution statement) {
+        if (!member.claimsPrimary()) {
+            responder.answer(member, statement, AttemptResult.ERROR);
+        } else if (leadership.isLeader(member)) {
+            replication.commit(member, statement);
+        }
+        // A deposed primary that does not know it gets no acknowledgement, so that it never answers.
+    }
+}
--- a/src/main/java/crankwick/simulation/FailoverAudit.java
+++ b/src/main/java/crankwick/simulation/FailoverAudit.java
@@ -244,21 +244,33 @@
 
     void history(long now, int group, ModelEffect effect) {
         GroupWatch g = groups[group];
-        if (effect instanceof ModelEffect.Applied e) {
-            KeyState key = keys.get(e.key());
-            note(now, group, 0, e.key() + " applied");
+        if (effect instanceof ModelEffect.WriteApplied e) {
+            KeyState key = keys.get(e.idempotencyKey());
+            note(now, group, 0, e.idempotencyKey() + " applied");
             if (++key.applied > 1) {
-                broken(Violation.APPLIED_TWICE, now, group, -1, e.key(), e.key() + " applied twice");
+                broken(
+                        Violation.APPLIED_TWICE,
+                        now,
+                        group,
+                        -1,
+                        e.idempotencyKey(),
+                        e.idempotencyKey() + " applied twice");
             }
-        } else if (effect instanceof ModelEffect.Undone e) {
-            KeyState key = keys.get(e.key());
+        } else if (effect instanceof ModelEffect.WriteRolledBack e) {
+            KeyState key = keys.get(e.idempotencyKey());
             key.applied--;
-            note(now, group, 0, e.key() + " undone");
+            note(now, group, 0, e.idempotencyKey() + " undone");
             if (key.served) {
-                broken(Violation.SERVED_NOT_APPLIED, now, group, -1, e.key(), e.key() + " served and lost");
+                broken(
+                        Violation.SERVED_NOT_APPLIED,
+                        now,
+                        group,
+                        -1,
+                        e.idempotencyKey(),
+                        e.idempotencyKey() + " served and lost");
             }
-        } else if (effect instanceof ModelEffect.Vacant e) {
-            note(now, group, -1, "vacant after " + e.old() + (e.planned() ? ", planned" : ""));
+        } else if (effect instanceof ModelEffect.LeaderLost e) {
+            note(now, group, -1, "vacant after " + e.previousLeader() + (e.planned() ? ", planned" : ""));
             g.affected.clear();
             g.affected.addAll(g.open.values());
             g.vacant = true;
@@ -266,11 +278,11 @@
             g.planned = e.planned();
             g.serving = null;
             g.changes++;
-        } else if (effect instanceof ModelEffect.Led e) {
+        } else if (effect instanceof ModelEffect.LeaderElected e) {
             note(now, group, -1, "led by " + e.member());
             g.leader = "g" + group + "m" + e.member();
             g.vacant = false;
-        } else if (effect instanceof ModelEffect.Fell e) {
+        } else if (effect instanceof ModelEffect.MemberCollapsed e) {
             broken(Violation.FALLEN, now, group, -1, "member " + e.member() + " fell over");
         }
     }
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -86,7 +86,7 @@
     private final Options options;
     private final SimulatedClock time = new SimulatedClock(START);
     private final SimulationRandom random;
-    private final ModelSettings figures = ModelSettings.SITE;
+    private final ModelSettings figures = ModelSettings.DEFAULT;
     private final RoutingSettings settings;
     private final FailoverSettings changes;
     private final FailoverAudit audit;
@@ -387,10 +387,15 @@
     private void onLed(SimulatedGroup g, int member) {
         long change = audit.changed(g.id, g.lastLeader != member);
         long ledAt = time.now();
-        boolean commits = g.model.commits();
+        boolean commits = g.model.canCommitWrites();
         time.after(FailoverAudit.MARGIN, () -> {
-            if (commits && g.model.commits()) {
-                audit.stable(g.id, change, ledAt, g.name(member), ledAt < g.model.startedAt(member) + figures.ramp());
+            if (commits && g.model.canCommitWrites()) {
+                audit.stable(
+                        g.id,
+                        change,
+                        ledAt,
+                        g.name(member),
+                        ledAt < g.model.startedAt(member) + figures.warmUpMicros());
             }
         });
         int old = g.lastLeader;
--- a/src/main/java/crankwick/simulation/FaultSchedule.java
+++ b/src/main/java/crankwick/simulation/FaultSchedule.java
@@ -1,7 +1,7 @@
 package crankwick.simulation;
 
 import crankwick.model.ModelEvent;
-import crankwick.model.ModelEvent.Trouble.Kind;
+import crankwick.model.ModelEvent.FaultInjected.Kind;
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 
@@ -58,14 +58,14 @@
             time.after(random.between(20 * MS, 300 * MS), () -> lists.accept(g, leader));
             back(g, leader, random.between(1_500 * MS, 4 * SECOND));
         } else if (draw < 90) {
-            befall(g, leader, draw < 65 ? Kind.DIE : Kind.HANG);
+            befall(g, leader, draw < 65 ? Kind.CRASH : Kind.HANG);
             back(g, leader, random.between(600 * MS, 12 * SECOND));
             if (random.percent() < 15) {
                 time.after(random.between(3 * SECOND, 5 * SECOND), () -> loseElected(g));
             }
         } else {
             int replica = (leader + 1) % members;
-            befall(g, replica, Kind.DIE);
+            befall(g, replica, Kind.CRASH);
             back(g, replica, random.between(600 * MS, 3 * SECOND));
         }
     }
@@ -73,7 +73,7 @@
     /** The next trouble of a leader waits until the group has all its members again. */
     private boolean othersAnswer(SimulatedGroup g, int leader) {
         for (int m = 0; m < members; m++) {
-            if (m != leader && (!g.model.answers(m) || g.model.drains(m))) {
+            if (m != leader && (!g.model.isResponsive(m) || g.model.isDraining(m))) {
                 return false;
             }
         }
@@ -84,24 +84,24 @@
     private void loseElected(SimulatedGroup g) {
         int victim = (g.model.lastLeader() + 1) % members;
         int other = (victim + 1) % members == g.model.lastLeader() ? (victim + 2) % members : (victim + 1) % members;
-        if (g.model.leader() < 0 && g.model.answers(victim) && g.model.answers(other)) {
-            befall(g, victim, Kind.DIE);
+        if (g.model.leader() < 0 && g.model.isResponsive(victim) && g.model.isResponsive(other)) {
+            befall(g, victim, Kind.CRASH);
             back(g, victim, random.between(SECOND, 3 * SECOND));
         }
     }
 
     private void befall(SimulatedGroup g, int member, Kind kind) {
         audit.note(time.now(), g.id, -1, g.name(member) + " " + kind);
-        network.at(g, new ModelEvent.Trouble(kind, member));
+        network.at(g, new ModelEvent.FaultInjected(kind, member));
     }
 
     private void back(SimulatedGroup g, int member, long after) {
         time.after(after, () -> {
-            if (g.model.drains(member) && (g.model.leader() == member || g.model.leader() < 0)) {
+            if (g.model.isDraining(member) && (g.model.leader() == member || g.model.leader() < 0)) {
                 back(g, member, 500 * MS);
                 return;
             }
-            befall(g, member, Kind.RETURN);
+            befall(g, member, Kind.RESTART);
             time.after(random.between(20 * MS, 300 * MS), () -> lists.accept(g, member));
             time.after(random.between(2_800 * MS, 4_900 * MS), () -> {
                 g.shownStart[member] = g.model.startedAt(member);
--- a/src/main/java/crankwick/simulation/ModelNetwork.java
+++ b/src/main/java/crankwick/simulation/ModelNetwork.java
@@ -134,7 +134,7 @@
         long alive = generation;
         GroupModel model = group(job.server).model;
         int member = SimulatedGroup.memberOf(job.server);
-        if (!model.answers(member) && !model.refuses(member) && random.flip()) {
+        if (!model.isResponsive(member) && !model.refusesConnections(member) && random.flip()) {
             time.after(CONNECT_TIMEOUT, () -> end(job, AttemptResult.UNREACHABLE, null));
             return;
         }
@@ -147,15 +147,15 @@
                 return;
             }
             atModels.put(job.modelRef, job);
-            if (!job.isProbe() && !model.refuses(member)) {
+            if (!job.isProbe() && !model.refusesConnections(member)) {
                 job.written = true;
                 broker.accept(new BrokerEvent.AttemptWritten(job.ref, job.attempt));
             }
             at(
                     group(job.server),
                     job.isProbe()
-                            ? new ModelEvent.Probe(job.modelRef, member)
-                            : new ModelEvent.Query(job.modelRef, member, job.key, job.mustSee));
+                            ? new ModelEvent.HealthCheckReceived(job.modelRef, member)
+                            : new ModelEvent.QueryReceived(job.modelRef, member, job.key, job.mustSee));
             if (random.chance(BREAKS)) {
                 time.after(random.way(), () -> {
                     if (atModels.containsKey(job.modelRef)) {
@@ -169,7 +169,7 @@
 
     private void drop(Job job) {
         atModels.remove(job.modelRef);
-        at(group(job.server), new ModelEvent.Dropped(job.modelRef));
+        at(group(job.server), new ModelEvent.ConnectionClosed(job.modelRef));
     }
 
     /** Puts an event to a group, and carries out what follows. */
@@ -179,13 +179,13 @@
         for (ModelEffect effect : effects) {
             onModel(g, effect);
         }
-        long due = g.model.nextDue();
+        long due = g.model.nextTimerDue();
         if (due < g.dueAt) {
             g.dueAt = due;
             time.at(due, () -> {
                 if (g.dueAt == due) {
                     g.dueAt = Long.MAX_VALUE;
-                    at(g, new ModelEvent.Due());
+                    at(g, new ModelEvent.TimerDue());
                 }
             });
         }
@@ -194,19 +194,19 @@
     private void onModel(SimulatedGroup g, ModelEffect effect) {
         audit.history(time.now(), g.id, effect);
         if (effect instanceof ModelEffect.Answered e) {
-            Job job = atModels.remove(e.ref());
+            Job job = atModels.remove(e.exchangeId());
             if (job != null) {
                 boolean lost = random.chance(BREAKS);
                 time.after(random.way(), () -> end(job, lost ? AttemptResult.RESET : e.result(), lost ? null : e));
             }
-        } else if (effect instanceof ModelEffect.Broken e) {
-            Job job = atModels.remove(e.ref());
+        } else if (effect instanceof ModelEffect.ConnectionBroken e) {
+            Job job = atModels.remove(e.exchangeId());
             if (job != null) {
                 time.after(
                         random.way(),
                         () -> end(job, e.refused() ? AttemptResult.UNREACHABLE : AttemptResult.RESET, null));
             }
-        } else if (effect instanceof ModelEffect.Led e) {
+        } else if (effect instanceof ModelEffect.LeaderElected e) {
             leaders.accept(g, e.member());
         }
     }
--- a/src/main/java/crankwick/simulation/SimulatedGroup.java
+++ b/src/main/java/crankwick/simulation/SimulatedGroup.java
@@ -40,7 +40,7 @@
 
     /** A member as the list shows it. */
     Endpoint entry(int member) {
-        EndpointStatus standing = model.drains(member) ? EndpointStatus.DRAINING : EndpointStatus.LIVE;
+        EndpointStatus standing = model.isDraining(member) ? EndpointStatus.DRAINING : EndpointStatus.LIVE;
         return new Endpoint(name(member), 0, id, shownRole[member], standing, shownStart[member]);
     }
 }
