--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -31,6 +31,7 @@
  */
 public final class DnsSdZoneFile implements Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(DnsSdZoneFile.class);
+    private static final long MICROS_PER_MILLI = 1_000;
 
     /** The records' file, and the service's name in it. */
     public record Zone(Path file, Name service) {}
@@ -170,7 +171,7 @@
                     Long.parseLong(attributes.getOrDefault("cell", "")),
                     role,
                     status,
-                    Long.parseLong(attributes.getOrDefault("started_ms", "0")) * 1_000);
+                    Long.parseLong(attributes.getOrDefault("started_ms", "0")) * MICROS_PER_MILLI);
             return EndpointList.Entry.of(
                     new DiscoveredEndpoint(endpoint, new InetSocketAddress(address, service.getPort())));
         } catch (IllegalArgumentException e) {
