--- a/src/main/java/crankwick/broker/AttemptController.java
+++ b/src/main/java/crankwick/broker/AttemptController.java
@@ -67,7 +67,7 @@
     }
 
     private void reportNotSent(ActiveRequest request, int attempt, String endpointId) {
-        reduction.tellRouter(new AttemptOutcome(
+        reduction.addRoutingEvent(new AttemptOutcome(
                 request.id(),
                 attempt,
                 request.isCompleted(),
@@ -126,7 +126,7 @@
         if (event.result() == AttemptResult.OK) {
             lifecycle.answer(request, new Reply.Served(event.value(), request.isWrite(), position));
         }
-        reduction.tellRouter(new AttemptOutcome(
+        reduction.addRoutingEvent(new AttemptOutcome(
                 event.requestId(),
                 event.attempt(),
                 request.isCompleted(),
--- a/src/main/java/crankwick/broker/Broker.java
+++ b/src/main/java/crankwick/broker/Broker.java
@@ -84,7 +84,7 @@
         } else if (event instanceof BrokerEvent.DeadlineReached e) {
             deadlines.onDeadline(e.requestId());
         } else if (event instanceof BrokerEvent.RoutingTimerFired e) {
-            reduction.tellRouter(new TimerFired(e.timerId()));
+            reduction.addRoutingEvent(new TimerFired(e.timerId()));
         } else if (event instanceof BrokerEvent.HealthCheckEnded e) {
             onHealthCheckEnded(e);
         } else if (event instanceof BrokerEvent.EndpointsUpdated e) {
@@ -96,11 +96,11 @@
         long now = reduction.now();
         LoadReport report = failover.onHealthCheckEnded(
                 e.endpointId(), e.result(), e.duration(), PositionCheck.plausible(e.report(), now), now);
-        reduction.tellRouter(new HealthCheckResult(e.endpointId(), e.result(), e.duration(), report));
+        reduction.addRoutingEvent(new HealthCheckResult(e.endpointId(), e.result(), e.duration(), report));
     }
 
     private void onEndpointsUpdated(BrokerEvent.EndpointsUpdated e) {
-        reduction.tellRouter(new EndpointUpdate(e.kind(), failover.onEndpointsUpdated(e, reduction.now())));
+        reduction.addRoutingEvent(new EndpointUpdate(e.kind(), failover.onEndpointsUpdated(e, reduction.now())));
         attempts.cancelQueuedAtLeavingEndpoints(e);
     }
 
--- a/src/main/java/crankwick/broker/Contract.java
+++ b/src/main/java/crankwick/broker/Contract.java
@@ -14,6 +14,7 @@
     /** No limits. */
     public static final Contract UNLIMITED = new Contract(Set.of(), 0, 0, 0);
 
+    /** True if the team may request this class. */
     boolean allows(int classIndex) {
         return allowedClasses.isEmpty() || allowedClasses.contains(classIndex);
     }
--- a/src/main/java/crankwick/broker/Reduction.java
+++ b/src/main/java/crankwick/broker/Reduction.java
@@ -32,7 +32,7 @@
         return effects;
     }
 
-    void tellRouter(RoutingEvent event) {
+    void addRoutingEvent(RoutingEvent event) {
         routingEvents.add(event);
     }
 
--- a/src/main/java/crankwick/broker/RequestLifecycle.java
+++ b/src/main/java/crankwick/broker/RequestLifecycle.java
@@ -79,7 +79,7 @@
         long tokenAge = request.requiredPosition() == AbsentValue.NONE
                 ? AbsentValue.NONE
                 : Math.max(1, reduction.now() - request.requiredPosition());
-        reduction.tellRouter(new RoutingRequest(
+        reduction.addRoutingEvent(new RoutingRequest(
                 request.requestId(),
                 request.classIndex(),
                 request.groupId(),
@@ -100,7 +100,7 @@
     /** Gives a request its final answer; the router is not to work on it any more. */
     void answerAndAbandon(ActiveRequest active, Reply reply) {
         answer(active, reply);
-        reduction.tellRouter(new RequestAbandoned(active.id()));
+        reduction.addRoutingEvent(new RequestAbandoned(active.id()));
         removeIfFinished(active);
     }
 
@@ -116,7 +116,7 @@
         if (active.isAttemptQueued()) {
             reduction.emit(new Effect.CancelQueued(active.id()));
         }
-        reduction.tellRouter(new RequestAbandoned(active.id()));
+        reduction.addRoutingEvent(new RequestAbandoned(active.id()));
         removeIfFinished(active);
     }
 
--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -8,8 +8,7 @@
  * hashed timing wheel (Varghese and Lauck, "Hashed and hierarchical timing wheels", 1987): an operation takes
  * constant time and an entry {@value #BYTES_PER_ENTRY} bytes with its share of the chains, whatever their number.
  *
- * <p>A key is known by a 64-bit hash over it and its group, seeded: with a million keys in memory the chance
- * that any two share one is under one in ten million, and such a pair is only failed where it might have executed.
+ * <p>A key is known by its {@link KeyHash} only; of a pair that shares one, a request is failed at worst.
  */
 final class KeyRegistry {
     /** Three times 8 for hash, sending and expiry, three times 4 for two links and a chain head, 1 for the state. */
@@ -31,7 +30,7 @@
     private static final byte NOT_EXECUTED = 4;
 
     private final int maxKeys;
-    private final long seed;
+    private final KeyHash keyHash;
     private long[] hashes;
     private long[] sentAt;
     private long[] expiresAt;
@@ -48,7 +47,7 @@
     /** Remembers up to {@code maxKeys} keys; the arrays grow to that as needed. */
     KeyRegistry(int maxKeys, long seed) {
         this.maxKeys = maxKeys;
-        this.seed = seed;
+        keyHash = new KeyHash(seed);
         Arrays.fill(slots, NONE);
         allocate(Math.min(maxKeys, INITIAL_CAPACITY));
     }
@@ -80,20 +79,8 @@
     }
 
     /** The hash by which a group's key is known here. */
-    long hash(long group, String key) {
-        long h = seed ^ group * 0x9E3779B97F4A7C15L;
-        for (int i = 0; i < key.length(); i++) {
-            h = (h ^ key.charAt(i)) * 0xD6E8FEB86659FD93L;
-            h ^= h >>> 32;
-        }
-        return mix(h);
-    }
-
-    /** The finalizer of SplitMix64 (Steele, Lea and Flood, 2014). */
-    private static long mix(long z) {
-        long a = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-        long b = (a ^ a >>> 27) * 0x94D049BB133111EBL;
-        return b ^ b >>> 31;
+    long hash(long groupId, String key) {
+        return keyHash.of(groupId, key);
     }
 
     /**
--- a/src/test/java/crankwick/failover/LeadershipTest.java
+++ b/src/test/java/crankwick/failover/LeadershipTest.java
@@ -154,4 +154,32 @@
         assertEquals(last.evidence(), claim("a", START + 401 * MICROS_PER_MILLI));
         assertEquals(withoutEvidence.phase(), Phase.UNKNOWN);
     }
+
+    @Test
+    public void claimOlderThanTheMaximumAgeIsNotBelieved() {
+        assertFalse(new Leadership().observe(claim("a", START - 1_500_001), START));
+        assertTrue(new Leadership().observe(claim("a", START - 1_500_000), START));
+    }
+
+    /** Positions are rounded on the wires, so a claim may lie a little behind the fence. */
+    @Test
+    public void claimBehindTheFenceIsNotBelieved() {
+        Leadership leadership = ledByA();
+        leadership.observe(new LeadershipEvidence.ConnectionRefused("a"), START + MICROS_PER_MILLI);
+        long now = START + 2 * MICROS_PER_MILLI;
+        assertFalse(
+                leadership.observe(new LeadershipEvidence.RoleReported("b", Role.PRIMARY, START - 2_001, now), now));
+        assertTrue(leadership.observe(new LeadershipEvidence.RoleReported("b", Role.PRIMARY, START - 2_000, now), now));
+    }
+
+    @Test
+    public void replacedLeaderWithoutPositionIsNotBelievedWhileAnotherLeads() {
+        Leadership leadership = ledByB();
+        long now = START + 5_600 * MICROS_PER_MILLI;
+        LeadershipEvidence.RoleReported withoutPosition =
+                new LeadershipEvidence.RoleReported("a", Role.PRIMARY, AbsentValue.NONE, now);
+        assertFalse(leadership.observe(withoutPosition, now));
+        leadership.observe(new LeadershipEvidence.ConnectionRefused("b"), now);
+        assertTrue(leadership.observe(withoutPosition, now));
+    }
 }
