--- a/src/main/java/crankwick/failover/FailoverCounters.java
+++ b/src/main/java/crankwick/failover/FailoverCounters.java
@@ -30,10 +30,14 @@
     /** One line for the operators. */
     @Override
     public String toString() {
-        return "failovers=" + failovers + " buffered=" + buffered + " buffered_max=" + maxBuffered + " released="
-                + released
-                + " recovery_unlikely=" + recoveryUnlikely + " limit_exceeded=" + limitExceeded + " attempts_cancelled="
-                + attemptsCancelled
-                + " key_windows_expired=" + keyWindowsExpired + " retries_failed=" + retriesFailed;
+        return "failovers=" + failovers
+                + " buffered=" + buffered
+                + " buffered_max=" + maxBuffered
+                + " released=" + released
+                + " recovery_unlikely=" + recoveryUnlikely
+                + " limit_exceeded=" + limitExceeded
+                + " attempts_cancelled=" + attemptsCancelled
+                + " key_windows_expired=" + keyWindowsExpired
+                + " retries_failed=" + retriesFailed;
     }
 }
--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -92,34 +92,42 @@
     boolean recordAttempt(long hash, long now, long timeToLive) {
         advance(now);
         int entry = find(hash);
-        if (entry != NONE) {
-            if (states[entry] == NOT_EXECUTED || expiresAt[entry] <= now) {
-                sentAt[entry] = now;
-                expiresAt[entry] = now + timeToLive;
-                states[entry] = IN_FLIGHT;
+        if (entry == NONE) {
+            entry = takeFreeEntry();
+            if (entry == NONE) {
+                return false;
             }
-            return true;
+            hashes[entry] = hash;
+            startWindow(entry, now, timeToLive);
+            addToChain(entry);
+            addToSlot(entry);
+        } else if (states[entry] == NOT_EXECUTED || expiresAt[entry] <= now) {
+            startWindow(entry, now, timeToLive);
         }
+        return true;
+    }
+
+    /** An entry that is free now, or NONE if {@code maxKeys} are in use. */
+    private int takeFreeEntry() {
         if (firstFree == NONE && used == hashes.length) {
             if (used >= maxKeys) {
-                return false;
+                return NONE;
             }
             allocate(Math.min(maxKeys, used * 2));
         }
-        if (firstFree != NONE) {
-            entry = firstFree;
-            firstFree = nextInChain[entry];
-        } else {
-            entry = used++;
+        size++;
+        if (firstFree == NONE) {
+            return used++;
         }
-        hashes[entry] = hash;
+        int entry = firstFree;
+        firstFree = nextInChain[entry];
+        return entry;
+    }
+
+    private void startWindow(int entry, long now, long timeToLive) {
         sentAt[entry] = now;
         expiresAt[entry] = now + timeToLive;
         states[entry] = IN_FLIGHT;
-        size++;
-        addToChain(entry);
-        addToSlot(entry);
-        return true;
     }
 
     /** An attempt has ended: executed, proven not to have executed, or neither. */
@@ -165,13 +173,13 @@
 
     /** Removes expired entries. Work is bounded by the entries that expire and one turn of the wheel. */
     private void advance(long now) {
-        long to = Math.floorDiv(now, TICK_MICROS);
+        long lastTick = Math.floorDiv(now, TICK_MICROS);
         if (currentTick == Long.MIN_VALUE) {
-            currentTick = to;
+            currentTick = lastTick;
         }
-        long from = Math.max(currentTick, to - SLOTS);
-        for (long t = from + 1; t <= to; t++) {
-            int slot = (int) Math.floorMod(t, (long) SLOTS);
+        long firstTick = Math.max(currentTick, lastTick - SLOTS) + 1;
+        for (long tick = firstTick; tick <= lastTick; tick++) {
+            int slot = (int) Math.floorMod(tick, (long) SLOTS);
             int entry = slots[slot];
             slots[slot] = NONE;
             while (entry != NONE) {
@@ -184,19 +192,19 @@
                 entry = next;
             }
         }
-        currentTick = Math.max(currentTick, to);
+        currentTick = Math.max(currentTick, lastTick);
     }
 
     private void remove(int entry) {
         int head = chainOf(hashes[entry]);
-        int before = NONE;
+        int previous = NONE;
         for (int at = chains[head]; at != entry; at = nextInChain[at]) {
-            before = at;
+            previous = at;
         }
-        if (before == NONE) {
+        if (previous == NONE) {
             chains[head] = nextInChain[entry];
         } else {
-            nextInChain[before] = nextInChain[entry];
+            nextInChain[previous] = nextInChain[entry];
         }
         states[entry] = FREE;
         nextInChain[entry] = firstFree;
--- a/src/main/java/crankwick/failover/RequestBuffer.java
+++ b/src/main/java/crankwick/failover/RequestBuffer.java
@@ -17,7 +17,7 @@
     /**
      * A request that waits.
      *
-     * @param usefulUntil the last moment at which letting it go can still earn its answer
+     * @param usefulUntil the last moment at which releasing it can still earn its answer
      */
     record BufferedRequest(long requestId, String team, double priorityWeight, long usefulUntil, int statementBytes) {
         long releaseOrder() {
