--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -8,8 +8,7 @@
  * hashed timing wheel (Varghese and Lauck, "Hashed and hierarchical timing wheels", 1987): an operation takes
  * constant time and an entry {@value #BYTES_PER_ENTRY} bytes with its share of the chains, whatever their number.
  *
- * <p>A key is known by a 64-bit hash over it and its group, seeded: with a million keys in memory the chance
- * that any two share one is under one in ten million, and such a pair is only failed where it might have executed.
+ * <p>A key is known by its {@link KeyHash} only; of a pair that shares one, a request is failed at worst.
  */
 final class KeyRegistry {
     /** Three times 8 for hash, sending and expiry, three times 4 for two links and a chain head, 1 for the state. */
@@ -31,7 +30,7 @@
     private static final byte NOT_EXECUTED = 4;
 
     private final int maxKeys;
-    private final long seed;
+    private final KeyHash keyHash;
     private long[] hashes;
     private long[] sentAt;
     private long[] expiresAt;
@@ -48,7 +47,7 @@
     /** Remembers up to {@code maxKeys} keys; the arrays grow to that as needed. */
     KeyRegistry(int maxKeys, long seed) {
         this.maxKeys = maxKeys;
-        this.seed = seed;
+        keyHash = new KeyHash(seed);
         Arrays.fill(slots, NONE);
         allocate(Math.min(maxKeys, INITIAL_CAPACITY));
     }
@@ -80,20 +79,8 @@
     }
 
     /** The hash by which a group's key is known here. */
-    long hash(long group, String key) {
-        long h = seed ^ group * 0x9E3779B97F4A7C15L;
-        for (int i = 0; i < key.length(); i++) {
-            h = (h ^ key.charAt(i)) * 0xD6E8FEB86659FD93L;
-            h ^= h >>> 32;
-        }
-        return mix(h);
-    }
-
-    /** The finalizer of SplitMix64 (Steele, Lea and Flood, 2014). */
-    private static long mix(long z) {
-        long a = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-        long b = (a ^ a >>> 27) * 0x94D049BB133111EBL;
-        return b ^ b >>> 31;
+    long hash(long groupId, String key) {
+        return keyHash.of(groupId, key);
     }
 
     /**
@@ -105,34 +92,42 @@
     boolean recordAttempt(long hash, long now, long timeToLive) {
         advance(now);
         int entry = find(hash);
-        if (entry != NONE) {
-            if (states[entry] == NOT_EXECUTED || expiresAt[entry] <= now) {
-                sentAt[entry] = now;
-                expiresAt[entry] = now + timeToLive;
-                states[entry] = IN_FLIGHT;
+        if (entry == NONE) {
+            entry = takeFreeEntry();
+            if (entry == NONE) {
+                return false;
             }
-            return true;
+            hashes[entry] = hash;
+            startWindow(entry, now, timeToLive);
+            addToChain(entry);
+            addToSlot(entry);
+        } else if (states[entry] == NOT_EXECUTED || expiresAt[entry] <= now) {
+            startWindow(entry, now, timeToLive);
         }
+        return true;
+    }
+
+    /** An entry that is free now, or NONE if {@code maxKeys} are in use. */
+    private int takeFreeEntry() {
         if (firstFree == NONE && used == hashes.length) {
             if (used >= maxKeys) {
-                return false;
+                return NONE;
             }
             allocate(Math.min(maxKeys, used * 2));
         }
-        if (firstFree != NONE) {
-            entry = firstFree;
-            firstFree = nextInChain[entry];
-        } else {
-            entry = used++;
+        size++;
+        if (firstFree == NONE) {
+            return used++;
         }
-        hashes[entry] = hash;
+        int entry = firstFree;
+        firstFree = nextInChain[entry];
+        return entry;
+    }
+
+    private void startWindow(int entry, long now, long timeToLive) {
         sentAt[entry] = now;
         expiresAt[entry] = now + timeToLive;
         states[entry] = IN_FLIGHT;
-        size++;
-        addToChain(entry);
-        addToSlot(entry);
-        return true;
     }
 
     /** An attempt has ended: executed, proven not to have executed, or neither. */
@@ -178,13 +173,13 @@
 
     /** Removes expired entries. Work is bounded by the entries that expire and one turn of the wheel. */
     private void advance(long now) {
-        long to = Math.floorDiv(now, TICK_MICROS);
+        long lastTick = Math.floorDiv(now, TICK_MICROS);
         if (currentTick == Long.MIN_VALUE) {
-            currentTick = to;
+            currentTick = lastTick;
         }
-        long from = Math.max(currentTick, to - SLOTS);
-        for (long t = from + 1; t <= to; t++) {
-            int slot = (int) Math.floorMod(t, (long) SLOTS);
+        long firstTick = Math.max(currentTick, lastTick - SLOTS) + 1;
+        for (long tick = firstTick; tick <= lastTick; tick++) {
+            int slot = (int) Math.floorMod(tick, (long) SLOTS);
             int entry = slots[slot];
             slots[slot] = NONE;
             while (entry != NONE) {
@@ -197,19 +192,19 @@
                 entry = next;
             }
         }
-        currentTick = Math.max(currentTick, to);
+        currentTick = Math.max(currentTick, lastTick);
     }
 
     private void remove(int entry) {
         int head = chainOf(hashes[entry]);
-        int before = NONE;
+        int previous = NONE;
         for (int at = chains[head]; at != entry; at = nextInChain[at]) {
-            before = at;
+            previous = at;
         }
-        if (before == NONE) {
+        if (previous == NONE) {
             chains[head] = nextInChain[entry];
         } else {
-            nextInChain[before] = nextInChain[entry];
+            nextInChain[previous] = nextInChain[entry];
         }
         states[entry] = FREE;
         nextInChain[entry] = firstFree;
