--- a/src/main/java/crankwick/routing/EndpointGroup.java
+++ b/src/main/java/crankwick/routing/EndpointGroup.java
@@ -83,7 +83,7 @@
         return false;
     }
 
-    /** Whether the endpoint may serve as a replica: no other claim to be primary is known of it. */
+    /** Whether the endpoint neither is the primary nor claims to be. */
     boolean isReplica(EndpointState endpoint) {
         return endpoint != primary && endpoint.role() != Role.PRIMARY;
     }
--- a/src/main/java/crankwick/routing/api/AttemptOutcome.java
+++ b/src/main/java/crankwick/routing/api/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** The end of an attempt; {@code answered} if the request has had its final answer. */
+/** The end of an attempt; {@code answered} if the client has received its final answer. */
 public record AttemptOutcome(
         long requestId,
         int attempt,
--- a/src/main/java/crankwick/routing/api/ConsistencyLevel.java
+++ b/src/main/java/crankwick/routing/api/ConsistencyLevel.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** What a request needs of the data it meets. */
+/** Which state of the data a request must see; a write needs the primary. */
 public enum ConsistencyLevel {
     WRITE,
     STRONG,
--- a/src/main/java/crankwick/routing/api/CostWeights.java
+++ b/src/main/java/crankwick/routing/api/CostWeights.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** Points lost per crossing of zones, probe, and share of work wasted. */
+/** The cost, in points, of a request across zones, a health check, and a fraction of wasted work. */
 public record CostWeights(double crossZone, double healthCheck, double wastedWork) {}
--- a/src/main/java/crankwick/routing/api/DeduplicationScope.java
+++ b/src/main/java/crankwick/routing/api/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** Which servers discard the repeats of a keyed request. */
+/** Which endpoints deduplicate the retries of a request with an idempotency key. */
 public enum DeduplicationScope {
     FLEET,
     ZONE,
--- a/src/main/java/crankwick/routing/api/Endpoint.java
+++ b/src/main/java/crankwick/routing/api/Endpoint.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** One line of the list of servers. */
+/** One entry of the endpoint list. */
 public record Endpoint(String id, int zone, long groupId, Role role, EndpointStatus status, long startedAt) {}
--- a/src/main/java/crankwick/routing/api/EndpointStatus.java
+++ b/src/main/java/crankwick/routing/api/EndpointStatus.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** A server's standing in the list. */
+/** An endpoint's status in the endpoint list. */
 public enum EndpointStatus {
     LIVE,
     DRAINING,
--- a/src/main/java/crankwick/routing/api/EndpointUpdate.java
+++ b/src/main/java/crankwick/routing/api/EndpointUpdate.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** News from the list of servers. */
+/** An update of the endpoint list, or that discovery is unavailable. */
 public record EndpointUpdate(EndpointUpdateKind kind, List<Endpoint> endpoints) implements RoutingEvent {}
--- a/src/main/java/crankwick/routing/api/EndpointUpdateKind.java
+++ b/src/main/java/crankwick/routing/api/EndpointUpdateKind.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** What a membership event brings. */
+/** What an endpoint update contains. */
 public enum EndpointUpdateKind {
     INCREMENTAL,
     FULL,
--- a/src/main/java/crankwick/routing/api/HealthCheckResult.java
+++ b/src/main/java/crankwick/routing/api/HealthCheckResult.java
@@ -1,5 +1,5 @@
 package crankwick.routing.api;
 
-/** The answer to a probe. */
+/** The result of a health check. */
 public record HealthCheckResult(String endpointId, AttemptResult result, long duration, LoadReport report)
         implements RoutingEvent {}
--- a/src/main/java/crankwick/routing/api/Idempotency.java
+++ b/src/main/java/crankwick/routing/api/Idempotency.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** How far a request may be repeated once it may have run. */
+/** Whether a request may be retried once it may have been executed. */
 public enum Idempotency {
     IDEMPOTENT,
     WITH_KEY,
--- a/src/main/java/crankwick/routing/api/LoadReport.java
+++ b/src/main/java/crankwick/routing/api/LoadReport.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** What a server says of itself, as old as the report; absent figures are NONE or NaN. */
+/** An endpoint's report of its position, role and load; absent values are NONE or NaN. */
 public record LoadReport(long position, Role role, double queueLength, double utilization, double inFlight) {}
--- a/src/main/java/crankwick/routing/api/RequestAbandoned.java
+++ b/src/main/java/crankwick/routing/api/RequestAbandoned.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** The client has left; no answer is owed. */
+/** The client has disconnected; the request needs no answer. */
 public record RequestAbandoned(long requestId) implements RoutingEvent {}
--- a/src/main/java/crankwick/routing/api/RequestClass.java
+++ b/src/main/java/crankwick/routing/api/RequestClass.java
@@ -1,6 +1,9 @@
 package crankwick.routing.api;
 
-/** A class of request; {@code latencyObjective} earns full worth, {@code lateWeight} is the share earned afterwards. */
+/**
+ * A class of requests; an answer within {@code latencyObjective} has its full weight, later ones the fraction
+ * {@code lateWeight}.
+ */
 public record RequestClass(
         ConsistencyLevel consistency,
         long stalenessBound,
--- a/src/main/java/crankwick/routing/api/ResponseStarted.java
+++ b/src/main/java/crankwick/routing/api/ResponseStarted.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** The answer has begun to stream: the attempt belongs to the client. */
+/** The response has begun to stream to the client; the request can no longer be retried. */
 public record ResponseStarted(long requestId) implements RoutingEvent {}
--- a/src/main/java/crankwick/routing/api/Role.java
+++ b/src/main/java/crankwick/routing/api/Role.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** A server's place in its group. */
+/** An endpoint's role in its group. */
 public enum Role {
     UNKNOWN,
     PRIMARY,
--- a/src/main/java/crankwick/routing/api/RoleVisibility.java
+++ b/src/main/java/crankwick/routing/api/RoleVisibility.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** How the list of servers shows roles. */
+/** How the endpoint list shows roles. */
 public enum RoleVisibility {
     HIDDEN,
     AT_START,
--- a/src/main/java/crankwick/routing/api/RoutingActions.java
+++ b/src/main/java/crankwick/routing/api/RoutingActions.java
@@ -1,31 +1,31 @@
 package crankwick.routing.api;
 
-/** What a router does; the caller carries it out at once and in order. */
+/** The actions of a router; the caller carries them out immediately and in order. */
 public interface RoutingActions {
-    /** Starts an attempt that times out after {@code patience}; NONE: when the client gives up. */
-    void send(long id, String server, long patience);
+    /** Starts an attempt that times out after {@code timeout}; NONE: at the client's deadline. */
+    void send(long requestId, String endpointId, long timeout);
 
-    /** Final answer: refused, a further try is harmless. */
-    void reject(long id, long retryAfter);
+    /** Final answer: rejected, a retry by the client is harmless. */
+    void reject(long requestId, long retryAfter);
 
-    /** Final answer: failed, its effect unknown. */
-    void fail(long id);
+    /** Final answer: failed, it may have been executed. */
+    void fail(long requestId);
 
-    /** Asks a server for its report. */
-    void checkHealth(String server);
+    /** Starts a health check of an endpoint. */
+    void checkHealth(String endpointId);
 
-    /** Stops waiting for an attempt. */
-    void cancelAttempt(long id, int attempt);
+    /** Cancels an attempt. */
+    void cancelAttempt(long requestId, int attempt);
 
-    /** Asks for a {@link TimerFired} event. */
-    void scheduleTimer(long fromNow, long ref);
+    /** Schedules a {@link TimerFired} event after a delay. */
+    void scheduleTimer(long delay, long timerId);
 
-    /** Asks discovery for changes from now on. */
+    /** Watches discovery for changes of the endpoint list. */
     void watchEndpoints();
 
-    /** Asks discovery for the whole list once. */
+    /** Fetches the full endpoint list once. */
     void fetchEndpoints();
 
-    /** A line for the operators. */
+    /** Logs a line for the operators. */
     void log(String line);
 }
--- a/src/main/java/crankwick/routing/api/RoutingRules.java
+++ b/src/main/java/crankwick/routing/api/RoutingRules.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** The figures of the rules. */
+/** Rules of the site that every decision obeys. */
 public record RoutingRules(
         long answerSlack,
         long drainGrace,
--- a/src/main/java/crankwick/routing/api/RoutingSettings.java
+++ b/src/main/java/crankwick/routing/api/RoutingSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Everything a router is told at its start. */
+/** The settings of a router. */
 public record RoutingSettings(
         int proxyCount,
         int zone,
--- a/src/main/java/crankwick/routing/api/StaleReadPolicy.java
+++ b/src/main/java/crankwick/routing/api/StaleReadPolicy.java
@@ -1,6 +1,6 @@
 package crankwick.routing.api;
 
-/** What a server does with a read for which it lags too far. */
+/** What an endpoint does with a read for which it lags too far. */
 public enum StaleReadPolicy {
     SERVE,
     REJECT,
--- a/src/main/java/crankwick/routing/api/TimerFired.java
+++ b/src/main/java/crankwick/routing/api/TimerFired.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** A timer that was armed has fallen due. */
+/** A scheduled timer has fired. */
 public record TimerFired(long timerId) implements RoutingEvent {}
--- a/src/test/java/crankwick/routing/EstimatesTest.java
+++ b/src/test/java/crankwick/routing/EstimatesTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The estimates that the router decides by, each on its own. */
+/** The estimates that the router decides by, each alone. */
 class EstimatesTest {
     @Test
-    void countedEventsFadeByTheirTimeConstant() {
+    void countDecaysByItsTimeConstant() {
         DecayingCount count = new DecayingCount(1_000);
         count.add(0);
         count.add(0);
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void meanMovesByItsGainAndRestsAgain() {
+    void meanFollowsSamplesByItsGainAndReturnsToRest() {
         FadingMean mean = new FadingMean(0.5, 2, 1_000);
         assertEquals(2, mean.at(5_000));
         mean.add(4, 5_000);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void quantileSettlesWhereItsShareOfSamplesLiesBelow() {
+    void quantileConvergesToItsShareOfSamples() {
         QuantileEstimate estimate = new QuantileEstimate(0.01, 0.3, 50);
         for (int i = 0; i < 20_000; i++) {
             estimate.add(i * 37 % 100);
@@ -38,27 +38,27 @@
     }
 
     @Test
-    void patienceOfFirstTriesIsKnownByThreeThatAgree() {
-        DeadlineEstimator patience = new DeadlineEstimator(10);
+    void firstAttemptTimeoutIsKnownFromThreeThatAgree() {
+        DeadlineEstimator estimator = new DeadlineEstimator(10);
         for (int i = 0; i < 3; i++) {
-            assertTrue(patience.isFirstAttempt(500 + i));
+            assertTrue(estimator.isFirstAttempt(500 + i));
         }
-        assertTrue(patience.isFirstAttempt(505));
-        assertFalse(patience.isFirstAttempt(300));
-        assertTrue(patience.isFirstAttempt(500));
+        assertTrue(estimator.isFirstAttempt(505));
+        assertFalse(estimator.isFirstAttempt(300));
+        assertTrue(estimator.isFirstAttempt(500));
     }
 
     @Test
-    void forgottenSessionsMustSeeTheNewestPositionForgotten() {
-        SessionTokenStore positions = new SessionTokenStore();
-        assertEquals(Long.MIN_VALUE, positions.get(1));
-        positions.put(1, 70);
-        positions.put(1, 50);
-        assertEquals(70, positions.get(1));
+    void evictedSessionsMustSeeTheHighestEvictedPosition() {
+        SessionTokenStore tokens = new SessionTokenStore();
+        assertEquals(Long.MIN_VALUE, tokens.get(1));
+        tokens.put(1, 70);
+        tokens.put(1, 50);
+        assertEquals(70, tokens.get(1));
         for (int session = 2; session <= 20_001; session++) {
-            positions.put(session, 100 + session);
+            tokens.put(session, 100 + session);
         }
-        assertEquals(70, positions.get(1));
-        assertEquals(102, positions.get(2));
+        assertEquals(70, tokens.get(1));
+        assertEquals(102, tokens.get(2));
     }
 }
--- a/src/test/java/crankwick/routing/LargeFleetTest.java
+++ b/src/test/java/crankwick/routing/LargeFleetTest.java
@@ -1,5 +1,6 @@
 package crankwick.routing;
 
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -22,477 +23,503 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of gateways, each of which meets a server every few seconds. */
+/** Hundreds of proxies, each of which sends an endpoint a request every few seconds. */
 class LargeFleetTest {
-    private static final long MS = RouterTestHarness.MS;
 
-    private static RouterTestHarness known(int instances) {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.instances = instances;
-        return RouterTestHarness.known(build.settings());
+    private static RouterTestHarness withProxies(int proxyCount) {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.proxyCount = proxyCount;
+        return RouterTestHarness.withKnownGroup(settings.build());
     }
 
-    private static long count(RouterTestHarness rig, String prefix) {
-        return rig.actions.stream().filter(a -> a.startsWith(prefix)).count();
+    private static long count(RouterTestHarness harness, String prefix) {
+        return harness.actions.stream().filter(a -> a.startsWith(prefix)).count();
     }
 
     @Test
-    void readAfterLongQuietIsServedByEvidenceFetchedForIt() {
-        RouterTestHarness rig = known(300);
-        rig.advance(10_000 * MS);
-        rig.actions.clear();
-        long read = rig.request(RouterTestHarness.VIEW);
-        assertNull(rig.sentTo(read), "what is known is ten seconds old");
-        assertEquals(1, count(rig, "probe"), "one replica is asked, not all");
-        rig.answers("r1", Role.REPLICA);
-        rig.answers("r2", Role.REPLICA);
-        rig.advance(10 * MS);
-        assertTrue(rig.sentTo(read).startsWith("r"));
+    void readAfterALongIdleTimeTriggersOneHealthCheck() {
+        RouterTestHarness harness = withProxies(300);
+        harness.advance(10_000 * MICROS_PER_MILLI);
+        harness.actions.clear();
+        long read = harness.request(RouterTestHarness.BOUNDED_READ);
+        assertNull(harness.sentTo(read), "the last response is ten seconds old");
+        assertEquals(1, count(harness, "check"), "one replica is checked, not all");
+        harness.respondsToHealthChecks("r1", Role.REPLICA);
+        harness.respondsToHealthChecks("r2", Role.REPLICA);
+        harness.advance(10 * MICROS_PER_MILLI);
+        assertTrue(harness.sentTo(read).startsWith("r"));
     }
 
     @Test
-    void readGoesOutUnaskedWhereEachMemberIsMetRarely() {
-        // Days at size: 14 gateways asked before most reads, until no probe was left.
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.instances = 300;
-        RouterTestHarness rig = new RouterTestHarness(build.settings());
-        String[] members = new String[30];
-        Arrays.setAll(members, i -> "r" + i);
-        rig.members(members);
-        for (String member : members) {
-            rig.answers(member, Role.REPLICA);
-            rig.report(member, Role.REPLICA, rig.now);
+    void rareResponsesDoNotRequireHealthChecks() {
+        // In large fleets, health checks before most reads exhausted their budget.
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.proxyCount = 300;
+        RouterTestHarness harness = new RouterTestHarness(settings.build());
+        String[] replicas = new String[30];
+        Arrays.setAll(replicas, i -> "r" + i);
+        harness.listEndpoints(replicas);
+        for (String replica : replicas) {
+            harness.respondsToHealthChecks(replica, Role.REPLICA);
+            harness.reportHealth(replica, Role.REPLICA, harness.now);
         }
-        rig.probes = 0;
+        harness.healthChecks = 0;
         for (int i = 0; i < 200; i++) {
-            long read = rig.request(RouterTestHarness.ANY);
-            assertNotNull(rig.sentTo(read), "read " + i + " waits");
-            rig.ok(read);
-            rig.advance(50 * MS);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            assertNotNull(harness.sentTo(read), "read " + i + " is queued");
+            harness.succeed(read);
+            harness.advance(50 * MICROS_PER_MILLI);
         }
-        assertTrue(rig.probes <= 20, "probes for 200 reads: " + rig.probes);
+        assertTrue(harness.healthChecks <= 20, "health checks for 200 reads: " + harness.healthChecks);
     }
 
     @Test
-    void withNoProbeEarnedWorkGoesOutUnasked() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.instances = 300;
-        build.probePrice = 0.3;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        rig.answers("r1", Role.REPLICA);
-        rig.answers("r2", Role.REPLICA);
+    void exhaustedHealthCheckBudgetDoesNotDelayRequests() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.proxyCount = 300;
+        settings.healthCheckCost = 0.3;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        harness.respondsToHealthChecks("r1", Role.REPLICA);
+        harness.respondsToHealthChecks("r2", Role.REPLICA);
         for (int i = 0; i < 60; i++) {
-            rig.write(5, rig.now + 900 * MS);
-            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
-            rig.advance(1_300 * MS);
+            harness.commitWrite(5, harness.now + 900 * MICROS_PER_MILLI);
+            harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
+            harness.advance(1_300 * MICROS_PER_MILLI);
         }
-        rig.advance(20_000 * MS);
-        rig.probes = 0;
-        assertNotNull(rig.sentTo(rig.request(RouterTestHarness.ANY)));
-        assertEquals(0, rig.probes, "none is earned");
+        harness.advance(20_000 * MICROS_PER_MILLI);
+        harness.healthChecks = 0;
+        assertNotNull(harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
+        assertEquals(0, harness.healthChecks, "none is earned");
     }
 
     @Test
-    void longWorkIsAskedAboutLaterWhereProbesAreDear() {
-        assertTrue(askedAfter(0.08) > 1.5 * askedAfter(0.02));
-        assertTrue(askedAfter(0.08) < 1_000 * MS, "a silent member is still found while another may serve");
+    void expensiveHealthChecksOfLongAttemptsComeLater() {
+        assertTrue(timeToFirstHealthCheck(0.08) > 1.5 * timeToFirstHealthCheck(0.02));
+        assertTrue(
+                timeToFirstHealthCheck(0.08) < 1_000 * MICROS_PER_MILLI,
+                "an unresponsive endpoint is still found while another may serve");
     }
 
     @Test
-    void memberThatIsLevelIsNotAskedWhereReportsTellNoLoad() {
-        assertEquals(0, probesOfBusyReplicas(Double.NaN), "the answer could not let the read go");
-        assertTrue(probesOfBusyReplicas(0) > 0, "the answer could tell of a member that has become free");
+    void freshReplicaIsNotCheckedWhereReportsCarryNoLoad() {
+        assertEquals(0, healthChecksOfBusyReplicas(Double.NaN), "the result could not release the read");
+        assertTrue(healthChecksOfBusyReplicas(0) > 0, "the result could show an endpoint that has become idle");
     }
 
-    /** Replicas answer so slowly that a read waits; whether asking them helps depends on their reports. */
-    private static int probesOfBusyReplicas(double load) {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.instances = 300;
-        RouterTestHarness rig = new RouterTestHarness(build.settings());
-        rig.members("r1", "r2");
+    /** Replicas respond so slowly that a read is queued; whether a health check helps depends on their reports. */
+    private static int healthChecksOfBusyReplicas(double load) {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.proxyCount = 300;
+        RouterTestHarness harness = new RouterTestHarness(settings.build());
+        harness.listEndpoints("r1", "r2");
         for (int i = 0; i < 40; i++) {
-            rig.report("r1", Role.REPLICA, rig.now, load, load);
-            rig.report("r2", Role.REPLICA, rig.now, load, load);
-            long read = rig.request(RouterTestHarness.ANY);
-            if (rig.sentTo(read) != null) {
-                rig.tell(new AttemptOutcome(
-                        read, 0, true, AttemptResult.OK, 4_000 * MS, rig.sentTo(read), Role.REPLICA, rig.now, null));
+            harness.reportHealth("r1", Role.REPLICA, harness.now, load, load);
+            harness.reportHealth("r2", Role.REPLICA, harness.now, load, load);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            if (harness.sentTo(read) != null) {
+                harness.handle(new AttemptOutcome(
+                        read,
+                        0,
+                        true,
+                        AttemptResult.OK,
+                        4_000 * MICROS_PER_MILLI,
+                        harness.sentTo(read),
+                        Role.REPLICA,
+                        harness.now,
+                        null));
             }
         }
-        rig.probes = 0;
-        long read = rig.request(RouterTestHarness.ANY);
-        rig.advance(200 * MS);
-        assertNull(rig.sentTo(read));
-        return rig.probes;
-    }
-
-    private static long askedAfter(double price) {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.probePrice = price;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        long read = rig.request(RouterTestHarness.ANY);
-        while (!rig.probing(rig.sentTo(read)) && rig.now < RouterTestHarness.START + 2_000 * MS) {
-            rig.advance(5 * MS);
+        harness.healthChecks = 0;
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        harness.advance(200 * MICROS_PER_MILLI);
+        assertNull(harness.sentTo(read));
+        return harness.healthChecks;
+    }
+
+    private static long timeToFirstHealthCheck(double healthCheckCost) {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.healthCheckCost = healthCheckCost;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        while (!harness.isHealthCheckPending(harness.sentTo(read))
+                && harness.now < RouterTestHarness.START + 2_000 * MICROS_PER_MILLI) {
+            harness.advance(5 * MICROS_PER_MILLI);
         }
-        return rig.now - RouterTestHarness.START;
+        return harness.now - RouterTestHarness.START;
     }
 
     @Test
-    void checkingReplicaHeardLongAgoIsTakenToHaveGoneOnApplying() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.whenBehind = StaleReadPolicy.WAIT;
-        build.tokensCarried = true;
-        build.instances = 300;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        rig.now += 2_000 * MS;
+    void selfCheckingReplicaIsAssumedToContinueReplicating() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.staleReadPolicy = StaleReadPolicy.WAIT;
+        settings.sessionTokensCarried = true;
+        settings.proxyCount = 300;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        harness.now += 2_000 * MICROS_PER_MILLI;
         assertNotNull(
-                rig.sentTo(rig.request(RouterTestHarness.OWN, 5, 800 * MS)), "level when heard, after that commit");
-        RouterTestHarness behind = new RouterTestHarness(build.settings());
-        behind.members("r1");
-        behind.report("r1", Role.REPLICA, behind.now - 600 * MS);
-        behind.now += 2_000 * MS;
+                harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, 800 * MICROS_PER_MILLI)),
+                "it had reached that commit at its last report");
+        RouterTestHarness behind = new RouterTestHarness(settings.build());
+        behind.listEndpoints("r1");
+        behind.reportHealth("r1", Role.REPLICA, behind.now - 600 * MICROS_PER_MILLI);
+        behind.now += 2_000 * MICROS_PER_MILLI;
         assertNull(
-                behind.sentTo(behind.request(RouterTestHarness.OWN, 5, 500 * MS)), "that commit is later than it was");
+                behind.sentTo(behind.request(RouterTestHarness.SESSION_READ, 5, 500 * MICROS_PER_MILLI)),
+                "that commit is later than its assumed position");
         assertNotNull(
-                behind.sentTo(behind.request(RouterTestHarness.VIEW)), "it was 600 ms behind, the bound is 1,500");
+                behind.sentTo(behind.request(RouterTestHarness.BOUNDED_READ)), "it lagged 600 ms, the bound is 1,500");
     }
 
     @Test
-    void checkingReplicaNeverHeardIsTriedAndOneThatDoesNotCheckIsAsked() {
-        // Full fleet: each of 100 gateways asked each of 48 replicas after its start, half of all probes.
-        for (StaleReadPolicy checks : StaleReadPolicy.values()) {
-            RouterTestHarness.Build build = new RouterTestHarness.Build();
-            build.whenBehind = checks;
-            build.instances = 300;
-            RouterTestHarness rig = new RouterTestHarness(build.settings());
-            rig.members("r1", "r2");
-            long read = rig.request(RouterTestHarness.VIEW);
-            boolean tried = checks != StaleReadPolicy.SERVE;
-            assertEquals(tried, rig.sentTo(read) != null, checks.toString());
-            assertEquals(tried ? 0 : 1, rig.probes, checks.toString());
+    void replicaOfUnknownPositionIsAttemptedOnlyIfItChecksItself() {
+        // Each of 100 proxies checked each of 48 replicas after its start: half of all health checks.
+        for (StaleReadPolicy policy : StaleReadPolicy.values()) {
+            RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+            settings.staleReadPolicy = policy;
+            settings.proxyCount = 300;
+            RouterTestHarness harness = new RouterTestHarness(settings.build());
+            harness.listEndpoints("r1", "r2");
+            long read = harness.request(RouterTestHarness.BOUNDED_READ);
+            boolean attempted = policy != StaleReadPolicy.SERVE;
+            assertEquals(attempted, harness.sentTo(read) != null, policy.toString());
+            assertEquals(attempted ? 0 : 1, harness.healthChecks, policy.toString());
         }
     }
 
-    /** Thirty replicas met in turn: 60 answers after 30 ms, then 60 after so long, or until a read waits. */
-    private static RouterTestHarness met(int instances, long duration) {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.instances = instances;
-        RouterTestHarness rig = new RouterTestHarness(build.settings());
-        String[] members = new String[30];
-        Arrays.setAll(members, i -> "r" + i);
-        rig.members(members);
+    /** Thirty replicas in turn: 60 responses after 30 ms, then 60 after the duration, or until a read is queued. */
+    private static RouterTestHarness afterResponses(int proxyCount, long duration) {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.proxyCount = proxyCount;
+        RouterTestHarness harness = new RouterTestHarness(settings.build());
+        String[] replicas = new String[30];
+        Arrays.setAll(replicas, i -> "r" + i);
+        harness.listEndpoints(replicas);
         long read = AbsentValue.NONE;
-        for (int i = 0; i < 120 && (i == 0 || rig.sentTo(read) != null); i++) {
-            rig.report(members[i % 30], Role.REPLICA, rig.now, Double.NaN, Double.NaN);
-            read = rig.request(RouterTestHarness.ANY);
-            if (rig.sentTo(read) != null) {
-                rig.tell(new AttemptOutcome(
+        for (int i = 0; i < 120 && (i == 0 || harness.sentTo(read) != null); i++) {
+            harness.reportHealth(replicas[i % 30], Role.REPLICA, harness.now, Double.NaN, Double.NaN);
+            read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            if (harness.sentTo(read) != null) {
+                harness.handle(new AttemptOutcome(
                         read,
                         0,
                         true,
                         AttemptResult.OK,
-                        i < 60 ? 30 * MS : duration,
-                        rig.sentTo(read),
+                        i < 60 ? 30 * MICROS_PER_MILLI : duration,
+                        harness.sentTo(read),
                         Role.REPLICA,
-                        rig.now,
+                        harness.now,
                         null));
             }
-            rig.advance(20 * MS);
+            harness.advance(20 * MICROS_PER_MILLI);
         }
-        return rig;
+        return harness;
     }
 
     @Test
-    void rushIsToldByAllReplicasTogetherAndForgottenAfterIt() {
-        // Full fleet: each gateway met a replica every 6 s, took it for calm, and all sent into queues.
-        RouterTestHarness calm = met(300, 30 * MS);
-        assertNotNull(calm.sentTo(calm.request(RouterTestHarness.ANY)));
-        RouterTestHarness rush = met(300, 900 * MS);
-        assertNull(rush.sentTo(rush.request(RouterTestHarness.ANY)), "whichever is drawn, it would be late");
-        rush.advance(2_500 * MS);
-        assertNotNull(rush.sentTo(rush.request(RouterTestHarness.ANY)), "no news for two seconds: tried again");
+    void overloadIsDetectedAcrossReplicasAndForgottenAfterwards() {
+        // Each proxy used a replica every 6 s, took it for idle, and all sent into queues.
+        RouterTestHarness calm = afterResponses(300, 30 * MICROS_PER_MILLI);
+        assertNotNull(calm.sentTo(calm.request(RouterTestHarness.EVENTUAL_READ)));
+        RouterTestHarness overloaded = afterResponses(300, 900 * MICROS_PER_MILLI);
+        assertNull(
+                overloaded.sentTo(overloaded.request(RouterTestHarness.EVENTUAL_READ)),
+                "whichever is selected, the response would be late");
+        overloaded.advance(2_500 * MICROS_PER_MILLI);
+        assertNotNull(
+                overloaded.sentTo(overloaded.request(RouterTestHarness.EVENTUAL_READ)),
+                "no responses for two seconds: attempted again");
     }
 
     @Test
-    void reportWithoutLoadIsNoSignOfRoomForManyGateways() {
-        for (int instances : new int[] {3, 300}) {
-            RouterTestHarness rig = met(instances, 900 * MS);
-            rig.change("p", EndpointStatus.LIVE, 0);
-            rig.report("p", Role.PRIMARY, rig.now, Double.NaN, Double.NaN);
-            String sent = rig.sentTo(rig.request(RouterTestHarness.ANY));
-            assertEquals(instances == 3 ? "p" : null, sent, "by " + instances);
+    void reportWithoutLoadShowsNoSpareCapacityToManyProxies() {
+        for (int proxyCount : new int[] {3, 300}) {
+            RouterTestHarness harness = afterResponses(proxyCount, 900 * MICROS_PER_MILLI);
+            harness.updateEndpoint("p", EndpointStatus.LIVE, 0);
+            harness.reportHealth("p", Role.PRIMARY, harness.now, Double.NaN, Double.NaN);
+            String sent = harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ));
+            assertEquals(proxyCount == 3 ? "p" : null, sent, "by " + proxyCount);
         }
     }
 
     @Test
-    void workInARushIsNotTakenForLost() {
-        // In a rush work takes long everywhere: withdrawn, it goes on at its database, and is done twice.
-        for (long duration : new long[] {30 * MS, 300 * MS}) {
-            RouterTestHarness rig = met(300, duration);
-            long read = rig.request(RouterTestHarness.ANY);
-            assertNotNull(rig.sentTo(read));
-            for (int i = 0; i < 100 && !rig.cancelled(read); i++) {
-                rig.report(rig.sentTo(read), Role.REPLICA, rig.now, Double.NaN, Double.NaN);
-                rig.advance(5 * MS);
+    void slowAttemptsUnderOverloadAreNotCancelled() {
+        // Under overload requests take long everywhere: a cancelled one continues at its database and runs twice.
+        for (long duration : new long[] {30 * MICROS_PER_MILLI, 300 * MICROS_PER_MILLI}) {
+            RouterTestHarness harness = afterResponses(300, duration);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            assertNotNull(harness.sentTo(read));
+            for (int i = 0; i < 100 && !harness.isCancelled(read); i++) {
+                harness.reportHealth(harness.sentTo(read), Role.REPLICA, harness.now, Double.NaN, Double.NaN);
+                harness.advance(5 * MICROS_PER_MILLI);
             }
-            assertEquals(duration < 100 * MS, rig.cancelled(read), "answers take " + duration);
+            assertEquals(duration < 100 * MICROS_PER_MILLI, harness.isCancelled(read), "responses take " + duration);
         }
     }
 
     @Test
-    void writeIsNotSentToAPrimaryThatStoppedMeanwhile() {
-        // Days with hangs and flapping: unsafe writes stayed in hung primaries until their clients left.
-        RouterTestHarness rig = known(300);
-        rig.advance(10_000 * MS);
-        long write = rig.request(RouterTestHarness.WRITE);
-        rig.answers("r2", Role.PRIMARY);
-        rig.advance(100 * MS);
-        assertEquals("r2", rig.sentTo(write), "the successor claims the role, p stays silent");
+    void writeIsNotSentToAnUnresponsivePrimary() {
+        // Non-idempotent writes stayed in hung primaries until their clients gave up.
+        RouterTestHarness harness = withProxies(300);
+        harness.advance(10_000 * MICROS_PER_MILLI);
+        long write = harness.request(RouterTestHarness.WRITE);
+        harness.respondsToHealthChecks("r2", Role.PRIMARY);
+        harness.advance(100 * MICROS_PER_MILLI);
+        assertEquals("r2", harness.sentTo(write), "the successor claims the role, p does not respond");
     }
 
     @Test
-    void nothingIsPolledOrTimedWhileNothingWaits() {
-        // The later deployments, untouched: standing polls cost 0.1 to 0.5 of the service.
-        RouterTestHarness rig = known(300);
-        long read = rig.request(RouterTestHarness.ANY);
-        rig.ok(read);
-        rig.advance(500 * MS);
-        rig.actions.clear();
-        rig.advance(20_000 * MS);
-        assertTrue(rig.actions.isEmpty(), rig.actions.toString());
+    void idleRouterSetsNoTimerAndChecksNothing() {
+        // Periodic health checks of an idle proxy are a cost without use.
+        RouterTestHarness harness = withProxies(300);
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        harness.succeed(read);
+        harness.advance(500 * MICROS_PER_MILLI);
+        harness.actions.clear();
+        harness.advance(20_000 * MICROS_PER_MILLI);
+        assertTrue(harness.actions.isEmpty(), harness.actions.toString());
     }
 
     @Test
-    void probesAreEarnedByRequests() {
-        RouterTestHarness rig = known(300);
-        rig.write(5, rig.now + 60_000 * MS);
+    void healthChecksAreEarnedByRequests() {
+        RouterTestHarness harness = withProxies(300);
+        harness.commitWrite(5, harness.now + 60_000 * MICROS_PER_MILLI);
         for (int i = 0; i < 100; i++) {
-            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
-            for (String server : List.of("p", "r1", "r2")) {
-                rig.answers(server, Role.REPLICA);
+            harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
+            for (String endpoint : List.of("p", "r1", "r2")) {
+                harness.respondsToHealthChecks(endpoint, Role.REPLICA);
             }
-            rig.advance(100 * MS);
+            harness.advance(100 * MICROS_PER_MILLI);
         }
-        assertTrue(rig.probes <= 40 + 1.5 * 101, "probes: " + rig.probes);
+        assertTrue(harness.healthChecks <= 40 + 1.5 * 101, "health checks: " + harness.healthChecks);
     }
 
     @Test
-    void queueInAReportTurnsReadsToTheOtherReplica() {
-        RouterTestHarness rig = known(300);
-        rig.report("r1", Role.REPLICA, rig.now, 20, 1);
+    void reportedQueueShiftsReadsToTheOtherReplica() {
+        RouterTestHarness harness = withProxies(300);
+        harness.reportHealth("r1", Role.REPLICA, harness.now, 20, 1);
         for (int i = 0; i < 20; i++) {
-            long read = rig.request(RouterTestHarness.ANY);
-            assertEquals("r2", rig.sentTo(read));
-            rig.ok(read);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            assertEquals("r2", harness.sentTo(read));
+            harness.succeed(read);
         }
     }
 
     @Test
-    void missingReportLeavesTheModulesOwnKnowledge() {
-        RouterTestHarness rig = known(300);
-        rig.advance(1_000 * MS);
-        long read = rig.request(RouterTestHarness.ANY);
-        for (String server : List.of("r1", "r2")) {
-            rig.tell(new HealthCheckResult(server, AttemptResult.OK, MS, null));
+    void healthCheckWithoutAReportMakesTheReplicaUsable() {
+        RouterTestHarness harness = withProxies(300);
+        harness.advance(1_000 * MICROS_PER_MILLI);
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        for (String endpoint : List.of("r1", "r2")) {
+            harness.handle(new HealthCheckResult(endpoint, AttemptResult.OK, MICROS_PER_MILLI, null));
         }
-        assertTrue(rig.sentTo(read).startsWith("r"));
+        assertTrue(harness.sentTo(read).startsWith("r"));
     }
 
     @Test
-    void fullReplicasBesideAnIdlePrimaryLendItAReadThatDoesNotLag() {
-        RouterTestHarness rig = known(90);
-        rig.report("r1", Role.REPLICA, rig.now, 40, 1);
-        rig.report("r2", Role.REPLICA, rig.now, 40, 1);
-        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.ANY)));
-        rig.write(5, rig.now + 10_000 * MS);
+    void freshReadUsesAnIdlePrimaryWhileReplicasAreFull() {
+        RouterTestHarness harness = withProxies(90);
+        harness.reportHealth("r1", Role.REPLICA, harness.now, 40, 1);
+        harness.reportHealth("r2", Role.REPLICA, harness.now, 40, 1);
+        assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
+        harness.commitWrite(5, harness.now + 10_000 * MICROS_PER_MILLI);
         assertNull(
-                rig.sentTo(rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE)), "a lagging read never goes there");
-        rig.report("p", Role.PRIMARY, rig.now, 0, 0.95);
-        assertNull(rig.sentTo(rig.request(RouterTestHarness.ANY)), "nor any read while the primary is busy");
+                harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE)),
+                "a read that no replica is fresh for never goes there");
+        harness.reportHealth("p", Role.PRIMARY, harness.now, 0, 0.95);
+        assertNull(
+                harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)),
+                "nor any read while the primary is busy");
     }
 
     @Test
-    void retryThatCanOnlyComeLateIsRefusedAtOnce() {
-        RouterTestHarness rig = known(300);
-        long deadline = 2_000 * MS;
+    void clientRetryThatWouldBeLateIsRejectedImmediately() {
+        RouterTestHarness harness = withProxies(300);
+        long deadline = 2_000 * MICROS_PER_MILLI;
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            ids.add(rig.requestUntil(RouterTestHarness.ANY, rig.now + 1_000 * MS));
-            rig.ok(ids.get(i));
+            ids.add(harness.requestExpiringAt(RouterTestHarness.EVENTUAL_READ, harness.now + 1_000 * MICROS_PER_MILLI));
+            harness.succeed(ids.get(i));
         }
-        long late = rig.requestUntil(RouterTestHarness.ANY, rig.now + deadline - 600 * MS);
-        assertTrue(rig.refused(late), "first asked 600 ms ago, wanted within 500");
-        long early = rig.requestUntil(RouterTestHarness.ANY, rig.now + deadline - 100 * MS);
-        assertFalse(rig.refused(early));
-        long impatient = rig.requestUntil(RouterTestHarness.ANY, rig.now + 250 * MS);
-        assertFalse(rig.refused(impatient), "little time from the start is no later try");
+        long late = harness.requestExpiringAt(
+                RouterTestHarness.EVENTUAL_READ, harness.now + deadline - 600 * MICROS_PER_MILLI);
+        assertTrue(harness.isRejected(late), "first sent 600 ms ago, with an objective of 500");
+        long early = harness.requestExpiringAt(
+                RouterTestHarness.EVENTUAL_READ, harness.now + deadline - 100 * MICROS_PER_MILLI);
+        assertFalse(harness.isRejected(early));
+        long shortTimeout =
+                harness.requestExpiringAt(RouterTestHarness.EVENTUAL_READ, harness.now + 250 * MICROS_PER_MILLI);
+        assertFalse(harness.isRejected(shortTimeout), "a short timeout is no retry");
     }
 
     @Test
-    void clientWithTooLittleTimeIsRefusedAndNothingIsSent() {
-        RouterTestHarness rig = known(300);
-        long id = rig.requestUntil(RouterTestHarness.ANY, rig.now + 40 * MS);
-        assertTrue(rig.refused(id));
-        assertNull(rig.sentTo(id));
+    void requestWithTooShortADeadlineIsRejectedUnsent() {
+        RouterTestHarness harness = withProxies(300);
+        long id = harness.requestExpiringAt(RouterTestHarness.EVENTUAL_READ, harness.now + 40 * MICROS_PER_MILLI);
+        assertTrue(harness.isRejected(id));
+        assertNull(harness.sentTo(id));
     }
 
     @Test
-    void silentMemberIsDrawnLessTheOftenerItWasSilent() {
-        RouterTestHarness rig = known(300);
+    void repeatedTimeoutsLowerTheSelectionWeight() {
+        RouterTestHarness harness = withProxies(300);
         for (int i = 0; i < 4; i++) {
-            rig.tell(new HealthCheckResult("r1", AttemptResult.TIMEOUT, 250 * MS, null));
+            harness.handle(new HealthCheckResult("r1", AttemptResult.TIMEOUT, 250 * MICROS_PER_MILLI, null));
         }
-        rig.report("r1", Role.REPLICA, rig.now);
-        rig.report("r2", Role.REPLICA, rig.now);
+        harness.reportHealth("r1", Role.REPLICA, harness.now);
+        harness.reportHealth("r2", Role.REPLICA, harness.now);
         int first = 0;
         for (int i = 0; i < 100; i++) {
-            long read = rig.request(RouterTestHarness.ANY);
-            first += "r1".equals(rig.sentTo(read)) ? 1 : 0;
-            rig.ok(read);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            first += "r1".equals(harness.sentTo(read)) ? 1 : 0;
+            harness.succeed(read);
         }
         assertTrue(first < 20, "r1 got " + first + " of 100");
     }
 
     @Test
-    void oneLostAnswerEjectsNobody() {
-        RouterTestHarness rig = known(300);
-        rig.answers("r1", Role.REPLICA);
-        rig.answers("r2", Role.REPLICA);
-        long read = rig.request(RouterTestHarness.ANY);
-        rig.advance(1_900 * MS);
-        rig.outcome(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
-        assertFalse(rig.actions.stream().anyMatch(a -> a.contains("ejected")));
+    void oneTimeoutDoesNotEject() {
+        RouterTestHarness harness = withProxies(300);
+        harness.respondsToHealthChecks("r1", Role.REPLICA);
+        harness.respondsToHealthChecks("r2", Role.REPLICA);
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        harness.advance(1_900 * MICROS_PER_MILLI);
+        harness.endAttempt(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
+        assertFalse(harness.actions.stream().anyMatch(a -> a.contains("ejected")));
     }
 
     @Test
-    void lostAnswersAreTriedAgainInTimeWithinTheBudgetAndWritesNever() {
-        // With most members losing answers while probes are answered, waiting on was the whole aim lost.
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        for (String server : List.of("r1", "r2")) {
-            rig.answers(server, Role.REPLICA);
+    void lostReadsAreRetriedWithinTheBudgetAndWritesNever() {
+        // Where most endpoints lose responses but pass health checks, waiting on misses the latency objective.
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        for (String endpoint : List.of("r1", "r2")) {
+            harness.respondsToHealthChecks(endpoint, Role.REPLICA);
         }
-        rig.answers("p", Role.PRIMARY);
+        harness.respondsToHealthChecks("p", Role.PRIMARY);
         for (int i = 0; i < 300; i++) {
-            rig.ok(rig.request(RouterTestHarness.ANY));
-            rig.now += 20 * MS;
+            harness.succeed(harness.request(RouterTestHarness.EVENTUAL_READ));
+            harness.now += 20 * MICROS_PER_MILLI;
         }
-        long write = rig.request(RouterTestHarness.WRITE);
-        int withdrawn = 0;
+        long write = harness.request(RouterTestHarness.WRITE);
+        int cancelledReads = 0;
         for (int i = 0; i < 80; i++) {
-            long read = rig.request(RouterTestHarness.ANY);
-            for (int step = 0; step < 80 && !rig.cancelled(read); step++) {
-                rig.advance(5 * MS);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            for (int step = 0; step < 80 && !harness.isCancelled(read); step++) {
+                harness.advance(5 * MICROS_PER_MILLI);
             }
-            if (rig.cancelled(read)) {
-                withdrawn++;
-                rig.outcome(read, AttemptResult.CANCELLED, Role.UNKNOWN, AbsentValue.NONE);
-                rig.advance(40 * MS);
-                assertEquals(2, rig.attempts(read));
+            if (harness.isCancelled(read)) {
+                cancelledReads++;
+                harness.endAttempt(read, AttemptResult.CANCELLED, Role.UNKNOWN, AbsentValue.NONE);
+                harness.advance(40 * MICROS_PER_MILLI);
+                assertEquals(2, harness.attempts(read));
             }
-            rig.outcome(read, AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
+            harness.endAttempt(read, AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
         }
-        assertTrue(withdrawn > 10 && withdrawn <= 30 + 80 / 4, "within the budget: " + withdrawn);
-        assertFalse(rig.cancelled(write));
-        assertEquals(1, rig.attempts(write));
-        assertFalse(rig.actions.stream().anyMatch(a -> a.contains("ejected")));
+        assertTrue(cancelledReads > 10 && cancelledReads <= 30 + 80 / 4, "within the budget: " + cancelledReads);
+        assertFalse(harness.isCancelled(write));
+        assertEquals(1, harness.attempts(write));
+        assertFalse(harness.actions.stream().anyMatch(a -> a.contains("ejected")));
     }
 
     @Test
-    void gatewayThatKnowsNoMemberRefusesAtOnceSoThatAnotherMayServe() {
-        // Hunt day h9de977: gateways restarted with an empty list held each request until it was late.
-        RouterTestHarness rig = new RouterTestHarness(new RouterTestHarness.Build().settings());
-        long read = rig.request(RouterTestHarness.ANY);
-        long write = rig.request(RouterTestHarness.WRITE);
-        assertTrue(rig.refused(read));
-        assertTrue(rig.refused(write));
-        rig.members("p", "r1");
-        assertTrue(rig.sentTo(rig.request(RouterTestHarness.ANY)) != null);
+    void proxyWithoutEndpointsRejectsImmediately() {
+        // Incident h9de977: proxies restarted with an empty list queued each request until it was late.
+        RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        long write = harness.request(RouterTestHarness.WRITE);
+        assertTrue(harness.isRejected(read));
+        assertTrue(harness.isRejected(write));
+        harness.listEndpoints("p", "r1");
+        assertTrue(harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)) != null);
     }
 
     @Test
-    void listThatCallsAllGoneIsNotBelievedWhereOnlyDrainingBinds() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.onlyDrainingBinds = true;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        rig.tell(new EndpointUpdate(EndpointUpdateKind.FULL, List.of()));
-        assertTrue(rig.sentTo(rig.request(RouterTestHarness.ANY)).startsWith("r"));
-        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.WRITE)));
-        RouterTestHarness bound = known(3);
-        bound.tell(new EndpointUpdate(EndpointUpdateKind.FULL, List.of()));
-        assertNull(bound.sentTo(bound.request(RouterTestHarness.ANY)), "where gone binds, it is obeyed");
+    void emptyListIsIgnoredWhereUnlistedEndpointsAreUsable() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.unlistedEndpointsUsable = true;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, List.of()));
+        assertTrue(
+                harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)).startsWith("r"));
+        assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.WRITE)));
+        RouterTestHarness bound = withProxies(3);
+        bound.handle(new EndpointUpdate(EndpointUpdateKind.FULL, List.of()));
+        assertNull(
+                bound.sentTo(bound.request(RouterTestHarness.EVENTUAL_READ)),
+                "where unlisted endpoints are not usable, they get nothing");
     }
 
     @Test
-    void olderListDoesNotTakeBackADrain() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.onlyDrainingBinds = true;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        rig.change("r1", EndpointStatus.DRAINING, 0);
-        List<Endpoint> rest = List.of(rig.list.get(0), rig.list.get(2));
-        rig.tell(new EndpointUpdate(EndpointUpdateKind.FULL, rest));
+    void removalAfterDrainingStillExcludesTheEndpoint() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.unlistedEndpointsUsable = true;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        harness.updateEndpoint("r1", EndpointStatus.DRAINING, 0);
+        List<Endpoint> rest = List.of(harness.endpointList.get(0), harness.endpointList.get(2));
+        harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, rest));
         for (int i = 0; i < 10; i++) {
-            long read = rig.request(RouterTestHarness.ANY);
-            assertEquals("r2", rig.sentTo(read), "gone after draining still binds");
-            rig.ok(read);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            assertEquals("r2", harness.sentTo(read), "removed while draining");
+            harness.succeed(read);
         }
     }
 
     @Test
-    void listedServerThatDoesNotExistCostsOneProbe() {
-        RouterTestHarness rig = known(300);
-        rig.list.add(RouterTestHarness.member("r9", EndpointStatus.LIVE, 0));
-        rig.tell(new EndpointUpdate(EndpointUpdateKind.FULL, rig.list));
-        rig.tell(new HealthCheckResult("r9", AttemptResult.UNREACHABLE, MS, null));
+    void unreachableListedEndpointIsNotAttempted() {
+        RouterTestHarness harness = withProxies(300);
+        harness.endpointList.add(RouterTestHarness.endpoint("r9", EndpointStatus.LIVE, 0));
+        harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, harness.endpointList));
+        harness.handle(new HealthCheckResult("r9", AttemptResult.UNREACHABLE, MICROS_PER_MILLI, null));
         for (int i = 0; i < 30; i++) {
-            long read = rig.request(RouterTestHarness.ANY);
-            assertNotEquals("r9", rig.sentTo(read));
-            rig.ok(read);
+            long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+            assertNotEquals("r9", harness.sentTo(read));
+            harness.succeed(read);
         }
     }
 
     @Test
-    void groupThatRestartedAtOnceGetsABoundedSumFromAllGateways() {
-        // Incident i02beb3 and the untouched scores: each gateway could send one at once.
+    void restartedGroupGetsABoundedTotalFromAllProxies() {
+        // Incident i02beb3: each proxy could send one request immediately.
         int sent = 0;
-        for (int gateway = 0; gateway < 300; gateway++) {
-            RouterTestHarness.Build build = new RouterTestHarness.Build();
-            build.instances = 300;
-            RouterTestHarness rig = new RouterTestHarness(build.settings(), gateway);
-            rig.list.add(RouterTestHarness.member("r1", EndpointStatus.LIVE, rig.now - MS));
-            rig.tell(new EndpointUpdate(EndpointUpdateKind.RESTORED, rig.list));
+        for (int proxy = 0; proxy < 300; proxy++) {
+            RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+            settings.proxyCount = 300;
+            RouterTestHarness harness = new RouterTestHarness(settings.build(), proxy);
+            harness.endpointList.add(
+                    RouterTestHarness.endpoint("r1", EndpointStatus.LIVE, harness.now - MICROS_PER_MILLI));
+            harness.handle(new EndpointUpdate(EndpointUpdateKind.RESTORED, harness.endpointList));
             for (int i = 0; i < 4; i++) {
-                long read = rig.request(RouterTestHarness.ANY);
-                if (rig.sentTo(read) != null) {
+                long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+                if (harness.sentTo(read) != null) {
                     sent++;
-                    rig.ok(read);
+                    harness.succeed(read);
                 }
-                rig.now += 250 * MS;
+                harness.now += 250 * MICROS_PER_MILLI;
             }
         }
         assertTrue(sent >= 1 && sent <= 8, "sent by all within a second: " + sent);
     }
 
     @Test
-    void groupWithOnlyColdMembersIsServedByTheYardstickOfTheOthers() {
-        RouterTestHarness rig = known(1);
-        rig.tell(new EndpointUpdate(
+    void groupInSlowStartIsServedByTheCapacityOfOtherGroups() {
+        RouterTestHarness harness = withProxies(1);
+        harness.handle(new EndpointUpdate(
                 EndpointUpdateKind.INCREMENTAL,
-                List.of(new Endpoint("c1", 0, 2, Role.UNKNOWN, EndpointStatus.LIVE, rig.now))));
+                List.of(new Endpoint("c1", 0, 2, Role.UNKNOWN, EndpointStatus.LIVE, harness.now))));
         int sent = 0;
-        List<Long> waiting = new ArrayList<>();
+        List<Long> queued = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            rig.report("c1", Role.REPLICA, rig.now);
-            rig.report("r1", Role.REPLICA, rig.now);
-            rig.report("r2", Role.REPLICA, rig.now);
-            rig.ok(rig.request(RouterTestHarness.ANY));
-            waiting.add(rig.requestTo(2, RouterTestHarness.ANY));
+            harness.reportHealth("c1", Role.REPLICA, harness.now);
+            harness.reportHealth("r1", Role.REPLICA, harness.now);
+            harness.reportHealth("r2", Role.REPLICA, harness.now);
+            harness.succeed(harness.request(RouterTestHarness.EVENTUAL_READ));
+            queued.add(harness.requestToGroup(2, RouterTestHarness.EVENTUAL_READ));
             List<Long> served =
-                    waiting.stream().filter(id -> rig.sentTo(id) != null).toList();
-            waiting.removeAll(served);
-            served.forEach(rig::ok);
+                    queued.stream().filter(id -> harness.sentTo(id) != null).toList();
+            queued.removeAll(served);
+            served.forEach(harness::succeed);
             sent += served.size();
-            rig.now += 10 * MS;
+            harness.now += 10 * MICROS_PER_MILLI;
         }
-        assertTrue(sent > 16, "three a second at least would be 12, sent " + sent);
+        assertTrue(sent > 16, "the minimum of three a second would be 12, sent " + sent);
     }
 }
--- a/src/test/java/crankwick/routing/LoadSheddingTest.java
+++ b/src/test/java/crankwick/routing/LoadSheddingTest.java
@@ -1,5 +1,6 @@
 package crankwick.routing;
 
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,43 +9,42 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What waits when there is no room, and what is refused. */
+/** Which requests are queued at the concurrency limit, and which are rejected. */
 class LoadSheddingTest {
-    private static final long MS = RouterTestHarness.MS;
 
-    private static RouterTestHarness crowded(List<Long> sent, List<Long> waiting) {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.probes = false;
-        RouterTestHarness rig = new RouterTestHarness(build.settings());
-        rig.members("r1");
+    private static RouterTestHarness atConcurrencyLimit(List<Long> sent, List<Long> queued) {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.healthChecksAllowed = false;
+        RouterTestHarness harness = new RouterTestHarness(settings.build());
+        harness.listEndpoints("r1");
         for (int i = 0; i < 20; i++) {
-            long id = rig.request(RouterTestHarness.ANY);
-            (rig.sentTo(id) != null ? sent : waiting).add(id);
-            rig.now += MS;
+            long id = harness.request(RouterTestHarness.EVENTUAL_READ);
+            (harness.sentTo(id) != null ? sent : queued).add(id);
+            harness.now += MICROS_PER_MILLI;
         }
-        return rig;
+        return harness;
     }
 
     @Test
-    void newestIsServedFirstAndTheOldestRefused() {
-        // Incident id1c5d3: served oldest first, each read came just too late.
+    void newestIsServedFirstAndOldestIsRejected() {
+        // Incident id1c5d3: served oldest first, each read was just too late.
         List<Long> sent = new ArrayList<>();
-        List<Long> waiting = new ArrayList<>();
-        RouterTestHarness rig = crowded(sent, waiting);
-        assertTrue(sent.size() < 20 && waiting.size() > 1);
-        rig.ok(sent.get(0));
-        assertNotNull(rig.sentTo(waiting.get(waiting.size() - 1)));
-        assertNull(rig.sentTo(waiting.get(0)));
-        rig.advance(600 * MS);
-        assertTrue(rig.refused(waiting.get(0)));
+        List<Long> queued = new ArrayList<>();
+        RouterTestHarness harness = atConcurrencyLimit(sent, queued);
+        assertTrue(sent.size() < 20 && queued.size() > 1);
+        harness.succeed(sent.get(0));
+        assertNotNull(harness.sentTo(queued.get(queued.size() - 1)));
+        assertNull(harness.sentTo(queued.get(0)));
+        harness.advance(600 * MICROS_PER_MILLI);
+        assertTrue(harness.isRejected(queued.get(0)));
     }
 
     @Test
-    void whatIsGivenUpIsAnsweredLongBeforeTheClientLeaves() {
-        List<Long> waiting = new ArrayList<>();
-        RouterTestHarness rig = crowded(new ArrayList<>(), waiting);
-        rig.advance(550 * MS);
-        assertTrue(rig.refused(waiting.get(0)), "its aim has passed, its client waits until 2 s");
-        assertTrue(rig.actions.contains("retry-after " + waiting.get(0) + " true"));
+    void lateRequestIsRejectedLongBeforeTheClientDeadline() {
+        List<Long> queued = new ArrayList<>();
+        RouterTestHarness harness = atConcurrencyLimit(new ArrayList<>(), queued);
+        harness.advance(550 * MICROS_PER_MILLI);
+        assertTrue(harness.isRejected(queued.get(0)), "its latency objective has passed, its client waits until 2 s");
+        assertTrue(harness.actions.contains("retry-after " + queued.get(0) + " true"));
     }
 }
--- a/src/test/java/crankwick/routing/PrimaryTest.java
+++ b/src/test/java/crankwick/routing/PrimaryTest.java
@@ -1,5 +1,6 @@
 package crankwick.routing;
 
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -15,136 +16,136 @@
 import crankwick.routing.api.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Locating the primary, and carrying writes across its changes. */
+/** Finding the primary, and routing writes while it changes. */
 class PrimaryTest {
-    private static final long MS = RouterTestHarness.MS;
 
     @Test
-    void unknownPrimaryIsSoughtOnceInTurnThenTheWriteIsHeld() {
-        RouterTestHarness rig = new RouterTestHarness(new RouterTestHarness.Build().settings());
-        rig.members("a", "b", "c");
-        long write = rig.request(RouterTestHarness.WRITE);
-        long second = rig.request(RouterTestHarness.WRITE);
+    void oneWriteAttemptsEachEndpointOnceForAnUnknownPrimary() {
+        RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
+        harness.listEndpoints("a", "b", "c");
+        long write = harness.request(RouterTestHarness.WRITE);
+        long second = harness.request(RouterTestHarness.WRITE);
         for (int i = 1; i <= 3; i++) {
-            assertEquals(i, rig.attempts(write));
-            rig.outcome(write, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
+            assertEquals(i, harness.attempts(write));
+            harness.endAttempt(write, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
         }
-        assertEquals(3, rig.attempts(write));
-        assertNull(rig.sentTo(second), "one write seeks, the others hold");
-        assertFalse(rig.refused(write));
-        rig.report("b", Role.PRIMARY, rig.now + MS);
-        assertEquals("b", rig.sentTo(write));
-        assertEquals("b", rig.sentTo(second));
+        assertEquals(3, harness.attempts(write));
+        assertNull(harness.sentTo(second), "one write looks for the primary, the others are queued");
+        assertFalse(harness.isRejected(write));
+        harness.reportHealth("b", Role.PRIMARY, harness.now + MICROS_PER_MILLI);
+        assertEquals("b", harness.sentTo(write));
+        assertEquals("b", harness.sentTo(second));
     }
 
     @Test
-    void newestClaimWinsAndAnOldReportDoesNotUndoIt() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long old = rig.now;
-        rig.report("r1", Role.PRIMARY, rig.now + 400 * MS);
-        rig.report("p", Role.PRIMARY, old);
-        assertEquals("r1", rig.sentTo(rig.request(RouterTestHarness.WRITE)));
+    void newestPrimaryClaimWinsOverAnOldReport() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long old = harness.now;
+        harness.reportHealth("r1", Role.PRIMARY, harness.now + 400 * MICROS_PER_MILLI);
+        harness.reportHealth("p", Role.PRIMARY, old);
+        assertEquals("r1", harness.sentTo(harness.request(RouterTestHarness.WRITE)));
     }
 
     @Test
-    void writesWaitWhileThePrimaryIsDownAndAreRefusedInTime() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long write = rig.request(RouterTestHarness.WRITE);
-        rig.outcome(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
-        rig.advance(1_500 * MS);
-        assertFalse(rig.refused(write), "still time for a new primary");
-        rig.advance(500 * MS);
-        assertTrue(rig.refused(write));
+    void writesAreQueuedWhileThePrimaryIsDownAndRejectedInTime() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long write = harness.request(RouterTestHarness.WRITE);
+        harness.endAttempt(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
+        harness.advance(1_500 * MICROS_PER_MILLI);
+        assertFalse(harness.isRejected(write), "still time for a new primary");
+        harness.advance(500 * MICROS_PER_MILLI);
+        assertTrue(harness.isRejected(write));
     }
 
     @Test
-    void primaryThatOnlyFailedIsTriedAgain() {
-        // Incident if9b0f8: an ejected primary was never sent anything again.
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
+    void ejectedPrimaryIsReadmittedByATrial() {
+        // Incident if9b0f8: an ejected primary was never sent a request again.
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
         for (int i = 0; i < 6; i++) {
-            long write = rig.request(RouterTestHarness.WRITE);
-            if (rig.sentTo(write) != null) {
-                rig.outcome(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
+            long write = harness.request(RouterTestHarness.WRITE);
+            if (harness.sentTo(write) != null) {
+                harness.endAttempt(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(rig.actions.contains("log p ejected: failure rate"));
-        long held = rig.request(RouterTestHarness.WRITE);
-        assertNull(rig.sentTo(held));
-        rig.answers("p", Role.PRIMARY);
-        rig.advance(1_000 * MS);
-        assertEquals("p", rig.sentTo(held));
-        rig.outcome(held, AttemptResult.OK, Role.PRIMARY, rig.now);
-        assertTrue(rig.actions.contains("log p readmitted"));
+        assertTrue(harness.actions.contains("log p ejected: failure rate"));
+        long queued = harness.request(RouterTestHarness.WRITE);
+        assertNull(harness.sentTo(queued));
+        harness.respondsToHealthChecks("p", Role.PRIMARY);
+        harness.advance(1_000 * MICROS_PER_MILLI);
+        assertEquals("p", harness.sentTo(queued));
+        harness.endAttempt(queued, AttemptResult.OK, Role.PRIMARY, harness.now);
+        assertTrue(harness.actions.contains("log p readmitted"));
     }
 
-    /** Else a member that was ejected before its restart and then took over got trials only, for seconds. */
+    /** Otherwise an endpoint ejected before its restart that then became primary got only trials for seconds. */
     @Test
-    void aFreshProcessIsNotLeftOutForWhatAnEarlierOneFailedAt() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
+    void restartClearsAnEjection() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
         for (int i = 0; i < 6; i++) {
-            long write = rig.request(RouterTestHarness.WRITE);
-            if (rig.sentTo(write) != null) {
-                rig.outcome(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
+            long write = harness.request(RouterTestHarness.WRITE);
+            if (harness.sentTo(write) != null) {
+                harness.endAttempt(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(rig.actions.contains("log p ejected: failure rate"));
-        rig.advance(MS);
-        rig.change("p", EndpointStatus.LIVE, rig.now - 20_000 * MS);
-        rig.report("p", Role.PRIMARY, rig.now);
-        long write = rig.request(RouterTestHarness.WRITE);
-        rig.advance(100 * MS);
-        assertEquals("p", rig.sentTo(write));
-        assertFalse(rig.actions.contains("log p readmitted"), "no trial was needed");
+        assertTrue(harness.actions.contains("log p ejected: failure rate"));
+        harness.advance(MICROS_PER_MILLI);
+        harness.updateEndpoint("p", EndpointStatus.LIVE, harness.now - 20_000 * MICROS_PER_MILLI);
+        harness.reportHealth("p", Role.PRIMARY, harness.now);
+        long write = harness.request(RouterTestHarness.WRITE);
+        harness.advance(100 * MICROS_PER_MILLI);
+        assertEquals("p", harness.sentTo(write));
+        assertFalse(harness.actions.contains("log p readmitted"), "no trial was needed");
     }
 
     @Test
-    void drainingPrimaryGetsNoWriteAndItsSuccessorDoes() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.change("p", EndpointStatus.DRAINING, 0);
-        long write = rig.request(RouterTestHarness.WRITE);
-        assertNull(rig.sentTo(write));
-        rig.report("r2", Role.PRIMARY, rig.now + MS);
-        assertEquals("r2", rig.sentTo(write));
+    void drainingPrimaryGetsNoWriteButItsSuccessorDoes() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.updateEndpoint("p", EndpointStatus.DRAINING, 0);
+        long write = harness.request(RouterTestHarness.WRITE);
+        assertNull(harness.sentTo(write));
+        harness.reportHealth("r2", Role.PRIMARY, harness.now + MICROS_PER_MILLI);
+        assertEquals("r2", harness.sentTo(write));
     }
 
     @Test
     void readsMayUseThePrimaryOnlyWhenEveryReplicaIsLost() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.change("r1", EndpointStatus.REMOVED, 0);
-        assertEquals("r2", rig.sentTo(rig.request(RouterTestHarness.ANY)));
-        rig.change("r2", EndpointStatus.REMOVED, 0);
-        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.ANY)));
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.updateEndpoint("r1", EndpointStatus.REMOVED, 0);
+        assertEquals("r2", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
+        harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
+        assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
     }
 
     @Test
-    void discoveryIsWatchedAndRenewedAfterAFailure() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.asksDiscovery = true;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        assertTrue(rig.actions.contains("arm 0"));
-        rig.tell(new TimerFired(0));
-        assertEquals(1, rig.actions.stream().filter("watch"::equals).count());
-        rig.actions.clear();
-        rig.tell(new EndpointUpdate(EndpointUpdateKind.UNAVAILABLE, java.util.List.of()));
-        assertTrue(rig.actions.contains("arm 0"));
+    void discoveryWatchIsRenewedAfterAFailure() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.pollsDiscovery = true;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        assertTrue(harness.actions.contains("timer 0"));
+        harness.handle(new TimerFired(0));
+        assertEquals(1, harness.actions.stream().filter("watch"::equals).count());
+        harness.actions.clear();
+        harness.handle(new EndpointUpdate(EndpointUpdateKind.UNAVAILABLE, java.util.List.of()));
+        assertTrue(harness.actions.contains("timer 0"));
     }
 
     @Test
     void sameEventsGiveTheSameActions() {
-        assertEquals(play(), play());
-        assertNotNull(play());
+        assertEquals(recordedActions(), recordedActions());
+        assertNotNull(recordedActions());
     }
 
-    private static java.util.List<String> play() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
+    private static java.util.List<String> recordedActions() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
         for (int i = 0; i < 200; i++) {
-            long id = rig.request(i % 5, i % 7, AbsentValue.NONE);
-            rig.advance(10 * MS);
-            if (rig.sentTo(id) != null) {
-                rig.outcome(id, i % 11 == 0 ? AttemptResult.ERROR : AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
+            long id = harness.request(i % 5, i % 7, AbsentValue.NONE);
+            harness.advance(10 * MICROS_PER_MILLI);
+            if (harness.sentTo(id) != null) {
+                harness.endAttempt(
+                        id, i % 11 == 0 ? AttemptResult.ERROR : AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
             }
         }
-        return rig.actions;
+        return harness.actions;
     }
 }
--- a/src/test/java/crankwick/routing/ReadPathTest.java
+++ b/src/test/java/crankwick/routing/ReadPathTest.java
@@ -1,5 +1,6 @@
 package crankwick.routing;
 
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -15,216 +16,223 @@
 import crankwick.routing.api.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of read, each source of its token, and the wait. */
+/** Each kind of read, each source of its session token, and the queue. */
 class ReadPathTest {
-    private static final long MS = RouterTestHarness.MS;
 
     @Test
-    void sessionReadGoesToReplicaKnownPastItsToken() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long commit = rig.now + MS;
-        rig.write(5, commit);
-        rig.report("r2", Role.REPLICA, commit);
-        long read = rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
-        assertEquals("r2", rig.sentTo(read));
+    void sessionReadGoesToReplicaThatReachedItsToken() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long commit = harness.now + MICROS_PER_MILLI;
+        harness.commitWrite(5, commit);
+        harness.reportHealth("r2", Role.REPLICA, commit);
+        long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
+        assertEquals("r2", harness.sentTo(read));
     }
 
     @Test
-    void positionOneMicrosecondShortDoesNotServe() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long commit = rig.now + MS;
-        rig.write(5, commit);
-        rig.report("r2", Role.REPLICA, commit - 1);
-        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE)));
+    void replicaOneMicrosecondBehindTheTokenDoesNotServe() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long commit = harness.now + MICROS_PER_MILLI;
+        harness.commitWrite(5, commit);
+        harness.reportHealth("r2", Role.REPLICA, commit - 1);
+        assertNull(harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE)));
     }
 
     @Test
-    void positionNeverFalls() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long commit = rig.now + MS;
-        rig.write(5, commit);
-        rig.report("r1", Role.REPLICA, commit);
-        rig.report("r1", Role.REPLICA, commit - 500 * MS);
-        assertEquals("r1", rig.sentTo(rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE)));
+    void knownPositionNeverGoesBack() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long commit = harness.now + MICROS_PER_MILLI;
+        harness.commitWrite(5, commit);
+        harness.reportHealth("r1", Role.REPLICA, commit);
+        harness.reportHealth("r1", Role.REPLICA, commit - 500 * MICROS_PER_MILLI);
+        assertEquals("r1", harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE)));
     }
 
     @Test
-    void otherSessionsOweNothing() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.write(5, rig.now);
-        assertNotEquals("p", rig.sentTo(rig.request(RouterTestHarness.OWN, 6, AbsentValue.NONE)));
+    void otherSessionsAreNotBoundByTheToken() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.commitWrite(5, harness.now);
+        assertNotEquals("p", harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 6, AbsentValue.NONE)));
     }
 
     @Test
     void carriedTokenIsNowMinusItsAge() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.tokensCarried = true;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        long known = rig.now + 10 * MS;
-        rig.report("r1", Role.REPLICA, known);
-        rig.now = known + 40 * MS;
-        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 5, 40 * MS - 1)));
-        assertEquals("r1", rig.sentTo(rig.request(RouterTestHarness.OWN, 6, 40 * MS)));
-        assertTrue(rig.sentTo(rig.request(RouterTestHarness.OWN, 7, 0)).startsWith("r"));
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.sessionTokensCarried = true;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        long known = harness.now + 10 * MICROS_PER_MILLI;
+        harness.reportHealth("r1", Role.REPLICA, known);
+        harness.now = known + 40 * MICROS_PER_MILLI;
+        assertNull(harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, 40 * MICROS_PER_MILLI - 1)));
+        assertEquals("r1", harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 6, 40 * MICROS_PER_MILLI)));
+        assertTrue(harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 7, 0))
+                .startsWith("r"));
     }
 
     @Test
-    void boundedReadMovesItsTokenWithTime() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long level = rig.now;
-        rig.report("r1", Role.REPLICA, level);
-        rig.report("r2", Role.REPLICA, level);
-        rig.now = level + 1_500 * MS;
-        rig.report("r1", Role.REPLICA, level);
-        assertTrue(rig.sentTo(rig.request(RouterTestHarness.VIEW)).startsWith("r"));
-        rig.now++;
-        assertNull(rig.sentTo(rig.request(RouterTestHarness.VIEW)));
+    void requiredPositionOfBoundedReadAdvancesWithTime() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long level = harness.now;
+        harness.reportHealth("r1", Role.REPLICA, level);
+        harness.reportHealth("r2", Role.REPLICA, level);
+        harness.now = level + 1_500 * MICROS_PER_MILLI;
+        harness.reportHealth("r1", Role.REPLICA, level);
+        assertTrue(
+                harness.sentTo(harness.request(RouterTestHarness.BOUNDED_READ)).startsWith("r"));
+        harness.now++;
+        assertNull(harness.sentTo(harness.request(RouterTestHarness.BOUNDED_READ)));
     }
 
     @Test
-    void answersThatCarryPositionsServeAsReports() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.answersCarryPosition = true;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        long commit = rig.now + MS;
-        rig.write(5, commit);
-        long any = rig.request(RouterTestHarness.ANY);
-        String server = rig.sentTo(any);
-        rig.outcome(any, AttemptResult.OK, Role.REPLICA, commit + 1);
-        assertEquals(server, rig.sentTo(rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE)));
+    void positionInAResponseCountsLikeAReport() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.responsesCarryPosition = true;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        long commit = harness.now + MICROS_PER_MILLI;
+        harness.commitWrite(5, commit);
+        long any = harness.request(RouterTestHarness.EVENTUAL_READ);
+        String endpoint = harness.sentTo(any);
+        harness.endAttempt(any, AttemptResult.OK, Role.REPLICA, commit + 1);
+        assertEquals(endpoint, harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE)));
     }
 
     @Test
-    void unheardReplicaServesOnlyWhatOwesNothing() {
-        RouterTestHarness rig = new RouterTestHarness(new RouterTestHarness.Build().settings());
-        rig.members("r1", "r2");
-        assertNull(rig.sentTo(rig.request(RouterTestHarness.VIEW)));
-        assertTrue(rig.sentTo(rig.request(RouterTestHarness.ANY)).startsWith("r"));
+    void replicaOfUnknownPositionServesOnlyEventualReads() {
+        RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
+        harness.listEndpoints("r1", "r2");
+        assertNull(harness.sentTo(harness.request(RouterTestHarness.BOUNDED_READ)));
+        assertTrue(
+                harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)).startsWith("r"));
     }
 
     @Test
-    void freshReadsAndWritesGoToThePrimaryAlone() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.FRESH)));
-        assertEquals("p", rig.sentTo(rig.request(RouterTestHarness.WRITE)));
+    void strongReadsAndWritesGoToThePrimaryOnly() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.STRONG_READ)));
+        assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.WRITE)));
     }
 
     @Test
-    void laggedReadNeverSpillsAndIsRefusedWithRetryAfter() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.write(5, rig.now + 10_000 * MS);
-        long read = rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
+    void readThatNoReplicaCanServeIsRejectedWithRetryAfter() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.commitWrite(5, harness.now + 10_000 * MICROS_PER_MILLI);
+        long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
         for (int i = 0; i < 30; i++) {
-            rig.advance(25 * MS);
-            for (String server : new String[] {"p", "r1", "r2"}) {
-                if (rig.actions.removeIf(a -> a.equals("probe " + server))) {
-                    rig.tell(new HealthCheckResult(
-                            server,
+            harness.advance(25 * MICROS_PER_MILLI);
+            for (String endpoint : new String[] {"p", "r1", "r2"}) {
+                if (harness.actions.removeIf(a -> a.equals("check " + endpoint))) {
+                    harness.handle(new HealthCheckResult(
+                            endpoint,
                             AttemptResult.OK,
-                            MS,
-                            new LoadReport(rig.now, server.equals("p") ? Role.PRIMARY : Role.REPLICA, 0, 0, 0)));
+                            MICROS_PER_MILLI,
+                            new LoadReport(harness.now, endpoint.equals("p") ? Role.PRIMARY : Role.REPLICA, 0, 0, 0)));
                 }
             }
         }
-        assertNull(rig.sentTo(read));
-        assertTrue(rig.refused(read));
-        assertTrue(rig.actions.contains("retry-after " + read + " true"));
+        assertNull(harness.sentTo(read));
+        assertTrue(harness.isRejected(read));
+        assertTrue(harness.actions.contains("retry-after " + read + " true"));
     }
 
     @Test
-    void waiterIsReleasedByTheNextPoll() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long commit = rig.now + MS;
-        rig.write(5, commit);
-        long read = rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
-        assertNull(rig.sentTo(read));
-        rig.report("r1", Role.REPLICA, commit + 1);
-        assertEquals("r1", rig.sentTo(read));
+    void queuedReadIsReleasedByTheNextHealthCheck() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long commit = harness.now + MICROS_PER_MILLI;
+        harness.commitWrite(5, commit);
+        long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
+        assertNull(harness.sentTo(read));
+        harness.reportHealth("r1", Role.REPLICA, commit + 1);
+        assertEquals("r1", harness.sentTo(read));
     }
 
     @Test
-    void onePollServesAllWaiters() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.write(5, rig.now);
+    void oneHealthCheckServesAllQueuedReads() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.commitWrite(5, harness.now);
         for (int i = 0; i < 20; i++) {
-            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
+            harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
         }
-        rig.actions.removeIf(a -> a.startsWith("probe"));
-        rig.advance(70 * MS);
-        long polls = rig.actions.stream().filter(a -> a.equals("probe r1")).count();
-        assertTrue(polls <= 1, "one probe in flight, however many wait");
+        harness.actions.removeIf(a -> a.startsWith("check"));
+        harness.advance(70 * MICROS_PER_MILLI);
+        long checks = harness.actions.stream().filter(a -> a.equals("check r1")).count();
+        assertTrue(checks <= 1, "one health check in flight, however many reads are queued");
     }
 
     @Test
-    void memberFarBehindIsNotPolledQuickly() {
-        // Incident ia21758: with every replica seconds behind, quick polls cost a tenth of the service.
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.write(5, rig.now + 5_000 * MS);
-        rig.actions.clear();
-        rig.tell(new TimerFired(2));
-        int polls = 0;
+    void replicaFarBehindIsCheckedRarely() {
+        // Incident ia21758: with every replica seconds behind, frequent health checks cost a tenth of the service.
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.commitWrite(5, harness.now + 5_000 * MICROS_PER_MILLI);
+        harness.actions.clear();
+        harness.handle(new TimerFired(2));
+        int checks = 0;
         for (int i = 0; i < 16; i++) {
-            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
-            rig.advance(25 * MS);
-            if (rig.actions.removeIf(a -> a.equals("probe r1"))) {
-                polls++;
-                rig.tell(new HealthCheckResult(
-                        "r1", AttemptResult.OK, MS, new LoadReport(rig.now - 5_000 * MS, Role.REPLICA, 0, 0, 0)));
+            harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
+            harness.advance(25 * MICROS_PER_MILLI);
+            if (harness.actions.removeIf(a -> a.equals("check r1"))) {
+                checks++;
+                harness.handle(new HealthCheckResult(
+                        "r1",
+                        AttemptResult.OK,
+                        MICROS_PER_MILLI,
+                        new LoadReport(harness.now - 5_000 * MICROS_PER_MILLI, Role.REPLICA, 0, 0, 0)));
             }
         }
-        assertTrue(polls >= 1 && polls <= 3, "polls in 400 ms: " + polls);
+        assertTrue(checks >= 1 && checks <= 3, "checks in 400 ms: " + checks);
     }
 
     @Test
-    void releaseDoesNotStampede() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long commit = rig.now + MS;
-        rig.write(5, commit);
+    void releasedReadsAreLimitedByConcurrency() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long commit = harness.now + MICROS_PER_MILLI;
+        harness.commitWrite(5, commit);
         for (int i = 0; i < 40; i++) {
-            rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
+            harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
         }
-        long before = rig.actions.stream()
+        long before = harness.actions.stream()
                 .filter(a -> a.endsWith(" r1") && a.startsWith("send"))
                 .count();
-        rig.report("r1", Role.REPLICA, commit);
-        long after = rig.actions.stream()
+        harness.reportHealth("r1", Role.REPLICA, commit);
+        long after = harness.actions.stream()
                 .filter(a -> a.endsWith(" r1") && a.startsWith("send"))
                 .count();
         assertTrue(after - before > 0 && after - before < 20, "released " + (after - before));
     }
 
     @Test
-    void checkingReplicaCloseBehindMayBeTriedAndMissRejoinsTheWait() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.whenBehind = StaleReadPolicy.REJECT;
-        build.tokensCarried = true;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        rig.now += 100 * MS;
-        rig.report("r1", Role.REPLICA, rig.now - 20 * MS);
-        rig.report("r2", Role.REPLICA, rig.now - 20 * MS);
-        long read = rig.request(RouterTestHarness.OWN, 5, MS);
-        String first = rig.sentTo(read);
+    void readIsRequeuedAfterAnIneligibleReplicaWithSmallLag() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.staleReadPolicy = StaleReadPolicy.REJECT;
+        settings.sessionTokensCarried = true;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        harness.now += 100 * MICROS_PER_MILLI;
+        harness.reportHealth("r1", Role.REPLICA, harness.now - 20 * MICROS_PER_MILLI);
+        harness.reportHealth("r2", Role.REPLICA, harness.now - 20 * MICROS_PER_MILLI);
+        long read = harness.request(RouterTestHarness.SESSION_READ, 5, MICROS_PER_MILLI);
+        String first = harness.sentTo(read);
         assertTrue(first.startsWith("r"));
-        rig.outcome(read, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
-        assertFalse(rig.refused(read));
-        rig.outcome(read, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
-        int tries = rig.attempts(read);
-        assertFalse(rig.failed(read));
-        rig.report("r1", Role.REPLICA, rig.now);
-        assertEquals(tries + 1, rig.attempts(read));
-        assertEquals("r1", rig.sentTo(read));
+        harness.endAttempt(read, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
+        assertFalse(harness.isRejected(read));
+        harness.endAttempt(read, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
+        int attempts = harness.attempts(read);
+        assertFalse(harness.isFailed(read));
+        harness.reportHealth("r1", Role.REPLICA, harness.now);
+        assertEquals(attempts + 1, harness.attempts(read));
+        assertEquals("r1", harness.sentTo(read));
     }
 
     @Test
-    void evictedSessionsFoldIntoTheFloorAndNeverReadStale() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long first = rig.now + MS;
-        rig.write(0, first);
+    void sessionsEvictedFromTheTokenStoreNeverReadStale() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long first = harness.now + MICROS_PER_MILLI;
+        harness.commitWrite(0, first);
         for (int session = 1; session <= 20_000; session++) {
-            rig.write(session, first - 1_000 * MS);
-            rig.actions.clear();
+            harness.commitWrite(session, first - 1_000 * MICROS_PER_MILLI);
+            harness.actions.clear();
         }
-        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 0, AbsentValue.NONE)));
-        assertNull(rig.sentTo(rig.request(RouterTestHarness.OWN, 99_999, AbsentValue.NONE)), "unknown session");
+        assertNull(harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 0, AbsentValue.NONE)));
+        assertNull(
+                harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 99_999, AbsentValue.NONE)),
+                "unknown session");
     }
 }
--- a/src/test/java/crankwick/routing/ExampleRequests.java
+++ b/src/test/java/crankwick/routing/RouterExampleTest.java
@@ -1,5 +1,7 @@
 package crankwick.routing;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
 import crankwick.routing.api.AbsentValue;
 import crankwick.routing.api.ConsistencyLevel;
 import crankwick.routing.api.CostWeights;
@@ -18,14 +20,22 @@
 import crankwick.routing.api.RoutingRules;
 import crankwick.routing.api.RoutingSettings;
 import crankwick.routing.api.StaleReadPolicy;
+import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
+import org.junit.jupiter.api.Test;
 
-/** How a gateway embeds the router; the README shows the body of {@link #run}. */
-final class ExampleRequests {
-    private ExampleRequests() {}
+/** An example of how a proxy embeds the router. */
+class RouterExampleTest {
+    @Test
+    void requestIsSentToTheOnlyEndpoint() {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        routeOneRequest(new PrintStream(output, true, StandardCharsets.UTF_8));
+        assertEquals("send 1 to db-1\n", output.toString(StandardCharsets.UTF_8));
+    }
 
-    static void run(PrintStream out) {
+    private static void routeOneRequest(PrintStream out) {
         RoutingSettings settings = new RoutingSettings(
                 1,
                 0,
@@ -61,13 +71,13 @@
 
     private record PrintingActions(PrintStream out) implements RoutingActions {
         @Override
-        public void send(long id, String server, long patience) {
-            out.print("send " + id + " to " + server + "\n");
+        public void send(long id, String endpoint, long timeout) {
+            out.print("send " + id + " to " + endpoint + "\n");
         }
 
         @Override
         public void reject(long id, long retryAfter) {
-            out.print("refuse " + id + "\n");
+            out.print("reject " + id + "\n");
         }
 
         @Override
@@ -76,13 +86,13 @@
         }
 
         @Override
-        public void checkHealth(String server) {}
+        public void checkHealth(String endpoint) {}
 
         @Override
         public void cancelAttempt(long id, int attempt) {}
 
         @Override
-        public void scheduleTimer(long fromNow, long ref) {}
+        public void scheduleTimer(long delay, long timerId) {}
 
         @Override
         public void watchEndpoints() {}
--- a/src/test/java/crankwick/routing/RouterTestHarness.java
+++ b/src/test/java/crankwick/routing/RouterTestHarness.java
@@ -1,5 +1,7 @@
 package crankwick.routing;
 
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
+
 import crankwick.routing.api.AbsentValue;
 import crankwick.routing.api.AttemptOutcome;
 import crankwick.routing.api.AttemptResult;
@@ -29,25 +31,35 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Feeds events to a router and keeps the actions that it took, one string each. */
+/** Feeds events to a router in simulated time and records its actions, one string each. */
 final class RouterTestHarness implements RoutingActions {
-    static final long MS = 1_000;
     static final long START = 1_000_000_000L;
-    static final int VIEW = 0;
-    static final int OWN = 1;
-    static final int ANY = 2;
-    static final int FRESH = 3;
+    /** Indices of the request classes of {@link SettingsBuilder}. */
+    static final int BOUNDED_READ = 0;
+
+    static final int SESSION_READ = 1;
+    static final int EVENTUAL_READ = 2;
+    static final int STRONG_READ = 3;
     static final int WRITE = 4;
-    static final int KEYED = 5;
+    static final int WRITE_WITH_KEY = 5;
+
+    private static final long GROUP = 1;
+    private static final long SESSION = 9;
+    private static final long CLIENT_TIMEOUT = 2_000 * MICROS_PER_MILLI;
+    private static final long CLOCK_STEP = 5 * MICROS_PER_MILLI;
 
     final List<String> actions = new ArrayList<>();
-    final List<Endpoint> list = new ArrayList<>();
+    final List<Endpoint> endpointList = new ArrayList<>();
     final Router router;
-    private final List<long[]> timers = new ArrayList<>();
-    private final Map<String, Role> answering = new TreeMap<>();
     long now = START;
-    int probes;
-    private long nextId = 1;
+    /** The number of health checks so far. */
+    int healthChecks;
+
+    private final List<Timer> timers = new ArrayList<>();
+    private final Map<String, Role> healthCheckResponders = new TreeMap<>();
+    private long nextRequestId = 1;
+
+    private record Timer(long dueAt, long id) {}
 
     RouterTestHarness(RoutingSettings settings) {
         this(settings, 7);
@@ -57,106 +69,119 @@
         router = new Router(settings, seed);
     }
 
-    /** A rig with primary p and replicas r1, r2 in group 1, all known to be level with the present. */
-    static RouterTestHarness known(RoutingSettings settings) {
-        RouterTestHarness rig = new RouterTestHarness(settings);
-        rig.members("p", "r1", "r2");
-        rig.report("p", Role.PRIMARY, rig.now);
-        rig.report("r1", Role.REPLICA, rig.now);
-        rig.report("r2", Role.REPLICA, rig.now);
-        return rig;
+    /** A harness with the default settings and an empty endpoint list. */
+    static RouterTestHarness withoutEndpoints() {
+        return new RouterTestHarness(new SettingsBuilder().build());
+    }
+
+    /** A harness with the default settings; see {@link #withKnownGroup(RoutingSettings)}. */
+    static RouterTestHarness withKnownGroup() {
+        return withKnownGroup(new SettingsBuilder().build());
+    }
+
+    /** A harness with primary p and replicas r1, r2 in group 1, all known to be level with the present. */
+    static RouterTestHarness withKnownGroup(RoutingSettings settings) {
+        RouterTestHarness harness = new RouterTestHarness(settings);
+        harness.listEndpoints("p", "r1", "r2");
+        harness.reportHealth("p", Role.PRIMARY, harness.now);
+        harness.reportHealth("r1", Role.REPLICA, harness.now);
+        harness.reportHealth("r2", Role.REPLICA, harness.now);
+        return harness;
     }
 
-    void members(String... servers) {
-        for (String server : servers) {
-            list.add(member(server, EndpointStatus.LIVE, 0));
+    /** Adds endpoints to the endpoint list and has it delivered in full. */
+    void listEndpoints(String... ids) {
+        for (String id : ids) {
+            endpointList.add(endpoint(id, EndpointStatus.LIVE, 0));
         }
-        tell(new EndpointUpdate(EndpointUpdateKind.RESTORED, List.copyOf(list)));
+        handle(new EndpointUpdate(EndpointUpdateKind.RESTORED, List.copyOf(endpointList)));
     }
 
-    static Endpoint member(String server, EndpointStatus standing, long startedAt) {
-        return new Endpoint(server, 0, 1, Role.UNKNOWN, standing, startedAt);
+    static Endpoint endpoint(String id, EndpointStatus status, long startedAt) {
+        return new Endpoint(id, 0, GROUP, Role.UNKNOWN, status, startedAt);
     }
 
-    void change(String server, EndpointStatus standing, long startedAt) {
-        tell(new EndpointUpdate(EndpointUpdateKind.INCREMENTAL, List.of(member(server, standing, startedAt))));
+    /** Delivers a change of one endpoint. */
+    void updateEndpoint(String id, EndpointStatus status, long startedAt) {
+        handle(new EndpointUpdate(EndpointUpdateKind.INCREMENTAL, List.of(endpoint(id, status, startedAt))));
     }
 
-    /** Tells a report, as the answer to a probe. */
-    void report(String server, Role role, long position) {
-        report(server, role, position, 0, 0);
+    /** Delivers the report of an idle endpoint as the result of a health check. */
+    void reportHealth(String id, Role role, long position) {
+        reportHealth(id, role, position, 0, 0);
     }
 
-    void report(String server, Role role, long position, double backlog, double utilization) {
-        actions.removeIf(a -> a.equals("probe " + server));
-        tell(new HealthCheckResult(
-                server, AttemptResult.OK, 2 * MS, new LoadReport(position, role, backlog, utilization, backlog)));
+    void reportHealth(String id, Role role, long position, double queueLength, double utilization) {
+        actions.removeIf(a -> a.equals("check " + id));
+        LoadReport report = new LoadReport(position, role, queueLength, utilization, queueLength);
+        handle(new HealthCheckResult(id, AttemptResult.OK, 2 * MICROS_PER_MILLI, report));
     }
 
-    /** From now on this server answers each probe at the next step, level with the present. */
-    void answers(String server, Role role) {
-        answering.put(server, role);
+    /** From now on this endpoint passes each health check at the next step, level with the present. */
+    void respondsToHealthChecks(String id, Role role) {
+        healthCheckResponders.put(id, role);
     }
 
-    private void answerProbes() {
-        answering.forEach((server, role) -> {
-            if (probing(server)) {
-                report(server, role, now);
+    private void respondToHealthChecks() {
+        healthCheckResponders.forEach((id, role) -> {
+            if (isHealthCheckPending(id)) {
+                reportHealth(id, role, now);
             }
         });
     }
 
-    boolean probing(String server) {
-        return actions.contains("probe " + server);
+    boolean isHealthCheckPending(String id) {
+        return actions.contains("check " + id);
     }
 
-    /** Moves the clock on; timers that fall due are told, in steps of 5 ms. */
+    /** Moves the clock on in small steps and fires the timers that are due. */
     void advance(long span) {
         long until = now + span;
         while (now < until) {
-            now = Math.min(until, now + 5 * MS);
-            List<long[]> due = timers.stream().filter(t -> t[0] <= now).toList();
+            now = Math.min(until, now + CLOCK_STEP);
+            List<Timer> due =
+                    timers.stream().filter(timer -> timer.dueAt() <= now).toList();
             timers.removeAll(due);
-            due.forEach(t -> tell(new TimerFired(t[1])));
-            answerProbes();
+            due.forEach(timer -> handle(new TimerFired(timer.id())));
+            respondToHealthChecks();
         }
     }
 
-    void tell(RoutingEvent event) {
+    void handle(RoutingEvent event) {
         router.handle(now, event, this);
     }
 
     long request(int classIndex) {
-        return request(classIndex, 9, AbsentValue.NONE);
+        return request(classIndex, SESSION, AbsentValue.NONE);
     }
 
     long request(int classIndex, long session, long tokenAge) {
-        return request(classIndex, 1, session, tokenAge, now + 2_000 * MS);
+        return request(classIndex, GROUP, session, tokenAge, now + CLIENT_TIMEOUT);
     }
 
-    long requestUntil(int classIndex, long expires) {
-        return request(classIndex, 1, 9, AbsentValue.NONE, expires);
+    long requestExpiringAt(int classIndex, long expiresAt) {
+        return request(classIndex, GROUP, SESSION, AbsentValue.NONE, expiresAt);
     }
 
-    long requestTo(long group, int classIndex) {
-        return request(classIndex, group, 9, AbsentValue.NONE, now + 2_000 * MS);
+    long requestToGroup(long group, int classIndex) {
+        return request(classIndex, group, SESSION, AbsentValue.NONE, now + CLIENT_TIMEOUT);
     }
 
-    private long request(int classIndex, long group, long session, long tokenAge, long expires) {
-        long id = nextId++;
-        tell(new RoutingRequest(id, classIndex, group, session, tokenAge, expires));
+    private long request(int classIndex, long group, long session, long tokenAge, long expiresAt) {
+        long id = nextRequestId++;
+        handle(new RoutingRequest(id, classIndex, group, session, tokenAge, expiresAt));
         return id;
     }
 
-    /** The server that the request's newest attempt went to, or null. */
+    /** The endpoint of the request's newest attempt, or null. */
     String sentTo(long id) {
-        String server = null;
+        String endpoint = null;
         for (String action : actions) {
             if (action.startsWith("send " + id + " ")) {
-                server = action.split(" ")[2];
+                endpoint = action.split(" ")[2];
             }
         }
-        return server;
+        return endpoint;
     }
 
     int attempts(long id) {
@@ -164,41 +189,50 @@
                 actions.stream().filter(a -> a.startsWith("send " + id + " ")).count();
     }
 
-    boolean refused(long id) {
-        return actions.contains("refuse " + id);
+    boolean isRejected(long id) {
+        return actions.contains("reject " + id);
     }
 
-    boolean failed(long id) {
+    boolean isFailed(long id) {
         return actions.contains("fail " + id);
     }
 
-    boolean cancelled(long id) {
+    boolean isCancelled(long id) {
         return actions.contains("cancel " + id);
     }
 
-    void outcome(long id, AttemptResult result, Role role, long position) {
-        tell(new AttemptOutcome(
-                id, attempts(id) - 1, result == AttemptResult.OK, result, 20 * MS, sentTo(id), role, position, null));
+    /** Ends the request's newest attempt. */
+    void endAttempt(long id, AttemptResult result, Role role, long position) {
+        handle(new AttemptOutcome(
+                id,
+                attempts(id) - 1,
+                result == AttemptResult.OK,
+                result,
+                20 * MICROS_PER_MILLI,
+                sentTo(id),
+                role,
+                position,
+                null));
     }
 
-    void ok(long id) {
-        outcome(id, AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
+    void succeed(long id) {
+        endAttempt(id, AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
     }
 
-    /** A write of the session, answered with this commit. */
-    void write(long session, long commit) {
+    /** Executes a write of the session that commits at the position. */
+    void commitWrite(long session, long position) {
         long id = request(WRITE, session, AbsentValue.NONE);
-        outcome(id, AttemptResult.OK, Role.PRIMARY, commit);
+        endAttempt(id, AttemptResult.OK, Role.PRIMARY, position);
     }
 
     @Override
-    public void send(long id, String server, long patience) {
-        actions.add("send " + id + " " + server);
+    public void send(long id, String endpoint, long timeout) {
+        actions.add("send " + id + " " + endpoint);
     }
 
     @Override
     public void reject(long id, long retryAfter) {
-        actions.add("refuse " + id);
+        actions.add("reject " + id);
         actions.add("retry-after " + id + " " + (retryAfter > 0));
     }
 
@@ -208,9 +242,9 @@
     }
 
     @Override
-    public void checkHealth(String server) {
-        actions.add("probe " + server);
-        probes++;
+    public void checkHealth(String endpoint) {
+        actions.add("check " + endpoint);
+        healthChecks++;
     }
 
     @Override
@@ -219,9 +253,9 @@
     }
 
     @Override
-    public void scheduleTimer(long fromNow, long ref) {
-        actions.add("arm " + ref);
-        timers.add(new long[] {now + fromNow, ref});
+    public void scheduleTimer(long delay, long timerId) {
+        actions.add("timer " + timerId);
+        timers.add(new Timer(now + delay, timerId));
     }
 
     @Override
@@ -240,41 +274,68 @@
     }
 
     /** Settings for tests, to be varied one value at a time. */
-    static final class Build {
-        boolean answersCarryPosition;
-        boolean tokensCarried;
-        boolean asksDiscovery;
-        boolean onlyDrainingBinds;
-        boolean cancels = true;
-        boolean probes = true;
-        int instances = 3;
-        double probePrice = 0.02;
-        StaleReadPolicy whenBehind = StaleReadPolicy.SERVE;
-        DeduplicationScope scope = DeduplicationScope.GROUP;
-
-        RoutingSettings settings() {
+    static final class SettingsBuilder {
+        boolean responsesCarryPosition;
+        boolean sessionTokensCarried;
+        boolean pollsDiscovery;
+        boolean unlistedEndpointsUsable;
+        boolean cancellationAllowed = true;
+        boolean healthChecksAllowed = true;
+        int proxyCount = 3;
+        double healthCheckCost = 0.02;
+        StaleReadPolicy staleReadPolicy = StaleReadPolicy.SERVE;
+        DeduplicationScope deduplicationScope = DeduplicationScope.GROUP;
+
+        RoutingSettings build() {
             return new RoutingSettings(
-                    instances,
+                    proxyCount,
                     0,
-                    asksDiscovery,
-                    answersCarryPosition,
-                    tokensCarried,
-                    whenBehind,
+                    pollsDiscovery,
+                    responsesCarryPosition,
+                    sessionTokensCarried,
+                    staleReadPolicy,
                     RoleVisibility.HIDDEN,
-                    new RoutingRules(20 * MS, 250 * MS, onlyDrainingBinds, 0.15, 18_000 * MS, 3, 1_000 * MS),
-                    new RoutingLimits(probes, cancels, true, 1_000 * MS, 8, 250 * MS),
-                    new CostWeights(0.02, probePrice, 0.03),
+                    new RoutingRules(
+                            20 * MICROS_PER_MILLI,
+                            250 * MICROS_PER_MILLI,
+                            unlistedEndpointsUsable,
+                            0.15,
+                            18_000 * MICROS_PER_MILLI,
+                            3,
+                            1_000 * MICROS_PER_MILLI),
+                    new RoutingLimits(
+                            healthChecksAllowed,
+                            cancellationAllowed,
+                            true,
+                            1_000 * MICROS_PER_MILLI,
+                            8,
+                            250 * MICROS_PER_MILLI),
+                    new CostWeights(0.02, healthCheckCost, 0.03),
                     List.of(
-                            cls(ConsistencyLevel.BOUNDED_STALENESS, 1_500 * MS, Idempotency.IDEMPOTENT, 0),
-                            cls(ConsistencyLevel.SESSION, 0, Idempotency.IDEMPOTENT, 0),
-                            cls(ConsistencyLevel.EVENTUAL, 0, Idempotency.IDEMPOTENT, 0),
-                            cls(ConsistencyLevel.STRONG, 0, Idempotency.IDEMPOTENT, 0),
-                            cls(ConsistencyLevel.WRITE, 0, Idempotency.NON_IDEMPOTENT, 0.3),
-                            cls(ConsistencyLevel.WRITE, 0, Idempotency.WITH_KEY, 0.3)));
+                            requestClass(
+                                    ConsistencyLevel.BOUNDED_STALENESS,
+                                    1_500 * MICROS_PER_MILLI,
+                                    Idempotency.IDEMPOTENT,
+                                    0),
+                            requestClass(ConsistencyLevel.SESSION, 0, Idempotency.IDEMPOTENT, 0),
+                            requestClass(ConsistencyLevel.EVENTUAL, 0, Idempotency.IDEMPOTENT, 0),
+                            requestClass(ConsistencyLevel.STRONG, 0, Idempotency.IDEMPOTENT, 0),
+                            requestClass(ConsistencyLevel.WRITE, 0, Idempotency.NON_IDEMPOTENT, 0.3),
+                            requestClass(ConsistencyLevel.WRITE, 0, Idempotency.WITH_KEY, 0.3)));
         }
 
-        private RequestClass cls(ConsistencyLevel need, long bound, Idempotency repeat, double late) {
-            return new RequestClass(need, bound, repeat, scope, 5_000 * MS, 500 * MS, 2_000 * MS, 1, late);
+        private RequestClass requestClass(
+                ConsistencyLevel consistency, long stalenessBound, Idempotency idempotency, double lateWeight) {
+            return new RequestClass(
+                    consistency,
+                    stalenessBound,
+                    idempotency,
+                    deduplicationScope,
+                    5_000 * MICROS_PER_MILLI,
+                    500 * MICROS_PER_MILLI,
+                    2_000 * MICROS_PER_MILLI,
+                    1,
+                    lateWeight);
         }
     }
 }
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -1,5 +1,6 @@
 package crankwick.routing;
 
+import static crankwick.routing.TimeUnits.MICROS_PER_MILLI;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -30,169 +31,171 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The rules that no run may break, one by one. */
+/** The rules that hold in every run, one by one. */
 class RoutingRulesTest {
-    /** Guards against memory that grows with each server there ever was, and each group anyone asked for. */
+    /** Guards against memory that grows with every endpoint ever listed and every group ever requested. */
     @Test
-    void forgetsWhatIsGoneAndWhatNeverWas() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
+    void expiredEndpointsAndUnknownGroupsAreNotRetained() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
         for (int i = 0; i < 200; i++) {
-            rig.change("s" + i, EndpointStatus.LIVE, 0);
-            rig.change("s" + (i - 3), EndpointStatus.REMOVED, 0);
-            assertTrue(rig.refused(rig.requestTo(1_000 + i, RouterTestHarness.VIEW)));
-            rig.advance(1_000 * RouterTestHarness.MS);
+            harness.updateEndpoint("s" + i, EndpointStatus.LIVE, 0);
+            harness.updateEndpoint("s" + (i - 3), EndpointStatus.REMOVED, 0);
+            assertTrue(harness.isRejected(harness.requestToGroup(1_000 + i, RouterTestHarness.BOUNDED_READ)));
+            harness.advance(1_000 * MICROS_PER_MILLI);
         }
-        assertTrue(rig.router.known() < 50, "kept: " + rig.router.known());
+        assertTrue(harness.router.known() < 50, "retained: " + harness.router.known());
     }
 
-    private static final long MS = RouterTestHarness.MS;
-
     @ParameterizedTest
     @EnumSource(value = AttemptResult.class, names = "OK", mode = EnumSource.Mode.EXCLUDE)
-    void unsafeWriteIsRepeatedOrRefusedOnlyIfItNeverRan(AttemptResult result) {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long write = rig.request(RouterTestHarness.WRITE);
-        rig.outcome(write, result, Role.UNKNOWN, AbsentValue.NONE);
-        rig.advance(3_000 * MS);
+    void nonIdempotentWriteIsRetriedOrRejectedOnlyIfNotExecuted(AttemptResult result) {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long write = harness.request(RouterTestHarness.WRITE);
+        harness.endAttempt(write, result, Role.UNKNOWN, AbsentValue.NONE);
+        harness.advance(3_000 * MICROS_PER_MILLI);
         if (result.provesNotExecuted()) {
-            assertFalse(rig.failed(write));
-            assertTrue(rig.attempts(write) > 1 || rig.refused(write));
+            assertFalse(harness.isFailed(write));
+            assertTrue(harness.attempts(write) > 1 || harness.isRejected(write));
         } else {
-            assertEquals(1, rig.attempts(write));
-            assertTrue(rig.failed(write));
-            assertFalse(rig.refused(write));
+            assertEquals(1, harness.attempts(write));
+            assertTrue(harness.isFailed(write));
+            assertFalse(harness.isRejected(write));
         }
     }
 
     @Test
-    void keyedWriteThatMayHaveRunIsNeverRefusedWhereTheScopeIsNarrow() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long write = rig.request(RouterTestHarness.KEYED);
-        rig.outcome(write, AttemptResult.RESET, Role.UNKNOWN, AbsentValue.NONE);
-        assertEquals(2, rig.attempts(write), "its repeat is discarded within the group");
-        rig.outcome(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
-        rig.advance(3_000 * MS);
-        assertTrue(rig.failed(write));
-        assertFalse(rig.refused(write));
+    void possiblyExecutedWriteWithKeyIsNeverRejectedUnderNarrowScope() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long write = harness.request(RouterTestHarness.WRITE_WITH_KEY);
+        harness.endAttempt(write, AttemptResult.RESET, Role.UNKNOWN, AbsentValue.NONE);
+        assertEquals(2, harness.attempts(write), "its retry is deduplicated within the group");
+        harness.endAttempt(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
+        harness.advance(3_000 * MICROS_PER_MILLI);
+        assertTrue(harness.isFailed(write));
+        assertFalse(harness.isRejected(write));
     }
 
     @Test
-    void everyRequestIsAnsweredWithNoMemberAtAll() {
-        RouterTestHarness rig = new RouterTestHarness(new RouterTestHarness.Build().settings());
-        for (int classIndex = RouterTestHarness.VIEW; classIndex <= RouterTestHarness.KEYED; classIndex++) {
-            long id = rig.request(classIndex);
-            rig.advance(2_000 * MS);
-            assertTrue(rig.refused(id), "class " + classIndex);
+    void everyRequestIsRejectedWithoutEndpoints() {
+        RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
+        for (int classIndex = RouterTestHarness.BOUNDED_READ;
+                classIndex <= RouterTestHarness.WRITE_WITH_KEY;
+                classIndex++) {
+            long id = harness.request(classIndex);
+            harness.advance(2_000 * MICROS_PER_MILLI);
+            assertTrue(harness.isRejected(id), "class " + classIndex);
         }
     }
 
     @Test
-    void timeOutAtTheDeadlineIsAnsweredAtOnce() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long read = rig.request(RouterTestHarness.ANY);
-        rig.now += 2_000 * MS;
-        rig.outcome(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
-        assertTrue(rig.refused(read));
+    void timeoutAtTheDeadlineIsAnsweredImmediately() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        harness.now += 2_000 * MICROS_PER_MILLI;
+        harness.endAttempt(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
+        assertTrue(harness.isRejected(read));
     }
 
     @Test
-    void nothingIsSentOnceTheClientHasLeft() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long read = rig.request(RouterTestHarness.ANY);
-        rig.tell(new RequestAbandoned(read));
-        rig.outcome(read, AttemptResult.ERROR, Role.UNKNOWN, AbsentValue.NONE);
-        rig.advance(500 * MS);
-        assertEquals(1, rig.attempts(read));
-        assertFalse(rig.refused(read) || rig.failed(read));
+    void abandonedRequestIsNotRetried() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        harness.handle(new RequestAbandoned(read));
+        harness.endAttempt(read, AttemptResult.ERROR, Role.UNKNOWN, AbsentValue.NONE);
+        harness.advance(500 * MICROS_PER_MILLI);
+        assertEquals(1, harness.attempts(read));
+        assertFalse(harness.isRejected(read) || harness.isFailed(read));
     }
 
     @Test
-    void lateNewsOfUnknownThingsIsIgnored() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        int before = rig.actions.size();
-        rig.tell(new AttemptOutcome(77, 0, false, AttemptResult.OK, MS, "r1", Role.REPLICA, 5, null));
-        rig.tell(new HealthCheckResult("nobody", AttemptResult.OK, MS, null));
-        rig.tell(new TimerFired(12_345));
-        rig.tell(new RequestAbandoned(77));
-        rig.tell(new ResponseStarted(77));
-        assertEquals(before, rig.actions.size());
+    void eventsOfUnknownRequestsAndEndpointsAreIgnored() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        int before = harness.actions.size();
+        harness.handle(
+                new AttemptOutcome(77, 0, false, AttemptResult.OK, MICROS_PER_MILLI, "r1", Role.REPLICA, 5, null));
+        harness.handle(new HealthCheckResult("nobody", AttemptResult.OK, MICROS_PER_MILLI, null));
+        harness.handle(new TimerFired(12_345));
+        harness.handle(new RequestAbandoned(77));
+        harness.handle(new ResponseStarted(77));
+        assertEquals(before, harness.actions.size());
     }
 
     @ParameterizedTest
     @EnumSource(value = EndpointStatus.class, names = "LIVE", mode = EnumSource.Mode.EXCLUDE)
-    void nothingNewGoesToAMemberThatDrainsOrIsGone(EndpointStatus standing) {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.change("r1", standing, 0);
+    void drainingOrRemovedEndpointGetsNoNewRequest(EndpointStatus status) {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.updateEndpoint("r1", status, 0);
         for (int i = 0; i < 20; i++) {
-            long id = rig.request(RouterTestHarness.ANY);
-            assertEquals("r2", rig.sentTo(id));
-            rig.ok(id);
+            long id = harness.request(RouterTestHarness.EVENTUAL_READ);
+            assertEquals("r2", harness.sentTo(id));
+            harness.succeed(id);
         }
     }
 
     @Test
-    void absentFromAFullListIsGone() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        List<Endpoint> rest = List.of(rig.list.get(0), rig.list.get(2));
-        rig.tell(new EndpointUpdate(EndpointUpdateKind.FULL, rest));
-        assertEquals("r2", rig.sentTo(rig.request(RouterTestHarness.ANY)));
+    void endpointMissingFromAFullListIsRemoved() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        List<Endpoint> rest = List.of(harness.endpointList.get(0), harness.endpointList.get(2));
+        harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, rest));
+        assertEquals("r2", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
     }
 
     @Test
-    void whereOnlyDrainingBindsGoneIsNoProof() {
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.onlyDrainingBinds = true;
-        RouterTestHarness rig = RouterTestHarness.known(build.settings());
-        rig.change("r1", EndpointStatus.REMOVED, 0);
-        rig.change("r2", EndpointStatus.DRAINING, 0);
-        rig.change("r2", EndpointStatus.REMOVED, 0);
-        assertEquals("r1", rig.sentTo(rig.request(RouterTestHarness.ANY)));
-        rig.change("r2", EndpointStatus.LIVE, 0);
-        rig.change("r1", EndpointStatus.DRAINING, 0);
-        assertEquals("r2", rig.sentTo(rig.request(RouterTestHarness.ANY)));
+    void unlistedEndpointIsUsableUnlessItWasDraining() {
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.unlistedEndpointsUsable = true;
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        harness.updateEndpoint("r1", EndpointStatus.REMOVED, 0);
+        harness.updateEndpoint("r2", EndpointStatus.DRAINING, 0);
+        harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
+        assertEquals("r1", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
+        harness.updateEndpoint("r2", EndpointStatus.LIVE, 0);
+        harness.updateEndpoint("r1", EndpointStatus.DRAINING, 0);
+        assertEquals("r2", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
     }
 
     @Test
-    void burstAtAColdMemberIsHeldToItsBudget() {
-        RouterTestHarness rig = new RouterTestHarness(new RouterTestHarness.Build().settings());
-        rig.list.add(RouterTestHarness.member("r1", EndpointStatus.LIVE, rig.now - 100 * MS));
-        rig.tell(new EndpointUpdate(EndpointUpdateKind.RESTORED, rig.list));
+    void burstIsLimitedToTheSlowStartBudget() {
+        RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
+        harness.endpointList.add(
+                RouterTestHarness.endpoint("r1", EndpointStatus.LIVE, harness.now - 100 * MICROS_PER_MILLI));
+        harness.handle(new EndpointUpdate(EndpointUpdateKind.RESTORED, harness.endpointList));
         int sent = 0;
         for (int i = 0; i < 100; i++) {
-            long id = rig.request(RouterTestHarness.ANY);
-            if (rig.sentTo(id) != null) {
+            long id = harness.request(RouterTestHarness.EVENTUAL_READ);
+            if (harness.sentTo(id) != null) {
                 sent++;
-                rig.ok(id);
+                harness.succeed(id);
             }
-            rig.now += 10 * MS;
+            harness.now += 10 * MICROS_PER_MILLI;
         }
         assertTrue(sent >= 1 && sent <= 3, "sent " + sent + " within a second");
     }
 
     @Test
-    void refusedConnectionsThenAnAnswerMeanAColdProcess() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.change("r2", EndpointStatus.REMOVED, 0);
-        long read = rig.request(RouterTestHarness.ANY);
-        rig.outcome(read, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
-        rig.report("r1", Role.REPLICA, rig.now);
-        assertTrue(rig.actions.contains("log r1 responds again, slow start"));
+    void responseAfterAConnectionFailureBeginsSlowStart() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        harness.endAttempt(read, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
+        harness.reportHealth("r1", Role.REPLICA, harness.now);
+        assertTrue(harness.actions.contains("log r1 responds again, slow start"));
     }
 
     @Test
-    void safeReadOnASilentMemberIsWithdrawnBeforeItIsRepeated() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long read = rig.request(RouterTestHarness.ANY);
-        String first = rig.sentTo(read);
-        rig.advance(700 * MS);
-        assertTrue(rig.cancelled(read));
-        assertEquals(1, rig.attempts(read), "never two at once");
-        rig.outcome(read, AttemptResult.CANCELLED, Role.UNKNOWN, AbsentValue.NONE);
+    void idempotentReadOnUnresponsiveEndpointIsCancelledBeforeRetry() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
+        String first = harness.sentTo(read);
+        harness.advance(700 * MICROS_PER_MILLI);
+        assertTrue(harness.isCancelled(read));
+        assertEquals(1, harness.attempts(read), "never two at once");
+        harness.endAttempt(read, AttemptResult.CANCELLED, Role.UNKNOWN, AbsentValue.NONE);
         assertNotNull(first);
     }
 
     @Test
-    void unusableSettingsNameTheField() {
+    void invalidSettingsNameTheField() {
         RoutingRules rules = new RoutingRules(-1, 0, false, 0.15, 0, 3, 0);
         RoutingLimits limits = new RoutingLimits(true, true, true, 0, 1, 0);
         IllegalArgumentException e = assertThrows(
@@ -213,73 +216,81 @@
     }
 
     @Test
-    void noSessionReadGoesToAFormerPrimaryWithoutAPosition() {
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.write(5, rig.now + 5 * MS);
-        rig.report("r1", Role.PRIMARY, rig.now + 100 * MS);
-        long read = rig.request(RouterTestHarness.OWN, 5, AbsentValue.NONE);
-        assertNull(rig.sentTo(read), "p's position is behind the token and r1 is the primary");
+    void sessionReadAvoidsAFormerPrimaryBehindItsToken() {
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.commitWrite(5, harness.now + 5 * MICROS_PER_MILLI);
+        harness.reportHealth("r1", Role.PRIMARY, harness.now + 100 * MICROS_PER_MILLI);
+        long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
+        assertNull(harness.sentTo(read), "p's position is behind the token and r1 is the primary");
     }
 
     @Test
-    void amongManyGatewaysLateAnswersSpaceTheSends() {
-        // Incident i9c74e4: a dozen gateways with one request each at every member already made a queue.
-        RouterTestHarness.Build build = new RouterTestHarness.Build();
-        build.instances = 12;
-        build.probes = false;
-        RouterTestHarness rig = new RouterTestHarness(build.settings());
-        rig.members("r1");
+    void slowResponsesSpaceTheAttemptsOfManyProxies() {
+        // Incident i9c74e4: a dozen proxies with one request each at every endpoint already built up a queue.
+        RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
+        settings.proxyCount = 12;
+        settings.healthChecksAllowed = false;
+        RouterTestHarness harness = new RouterTestHarness(settings.build());
+        harness.listEndpoints("r1");
         for (int i = 0; i < 30; i++) {
-            long id = rig.request(RouterTestHarness.ANY);
-            if (rig.sentTo(id) != null) {
-                rig.tell(new AttemptOutcome(
-                        id, 0, true, AttemptResult.OK, 450 * MS, "r1", Role.UNKNOWN, AbsentValue.NONE, null));
+            long id = harness.request(RouterTestHarness.EVENTUAL_READ);
+            if (harness.sentTo(id) != null) {
+                harness.handle(new AttemptOutcome(
+                        id,
+                        0,
+                        true,
+                        AttemptResult.OK,
+                        450 * MICROS_PER_MILLI,
+                        "r1",
+                        Role.UNKNOWN,
+                        AbsentValue.NONE,
+                        null));
             }
-            rig.advance(1_000 * MS);
+            harness.advance(1_000 * MICROS_PER_MILLI);
         }
-        long first = rig.request(RouterTestHarness.ANY);
-        assertEquals("r1", rig.sentTo(first));
-        rig.ok(first);
-        long second = rig.request(RouterTestHarness.ANY);
-        assertNull(rig.sentTo(second), "nothing is out, but the next send is spaced");
+        long first = harness.request(RouterTestHarness.EVENTUAL_READ);
+        assertEquals("r1", harness.sentTo(first));
+        harness.succeed(first);
+        long second = harness.request(RouterTestHarness.EVENTUAL_READ);
+        assertNull(harness.sentTo(second), "nothing is in flight, but the next attempt is spaced");
     }
 
     @Test
-    void oneLongRequestIsNoSilenceWhileProbesAreAnswered() {
-        // Incident i6aa7ab: with little work at each member, one long request ejected a sound member.
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        long read = rig.request(RouterTestHarness.ANY);
+    void longRequestIsNotCancelledWhileHealthChecksPass() {
+        // Incident i6aa7ab: with few requests at each endpoint, one long request ejected a healthy one.
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 24; i++) {
-            rig.advance(25 * MS);
-            for (String server : new String[] {"p", "r1", "r2"}) {
-                if (rig.actions.removeIf(a -> a.equals("probe " + server))) {
-                    rig.tell(new HealthCheckResult(server, AttemptResult.OK, MS, null));
+            harness.advance(25 * MICROS_PER_MILLI);
+            for (String endpoint : new String[] {"p", "r1", "r2"}) {
+                if (harness.actions.removeIf(a -> a.equals("check " + endpoint))) {
+                    harness.handle(new HealthCheckResult(endpoint, AttemptResult.OK, MICROS_PER_MILLI, null));
                 }
             }
         }
-        assertFalse(rig.cancelled(read));
-        assertFalse(rig.actions.contains("log " + rig.sentTo(read) + " ejected: answers nothing"));
+        assertFalse(harness.isCancelled(read));
+        assertFalse(harness.actions.stream().anyMatch(action -> action.contains("ejected")));
     }
 
     @Test
-    void answersToEarlierWorkDoNotReadmitAFailingMember() {
-        // Hunt day h25ee0b: old answers readmitted a failing member many times a second.
-        RouterTestHarness rig = RouterTestHarness.known(new RouterTestHarness.Build().settings());
-        rig.change("r2", EndpointStatus.REMOVED, 0);
-        long earlier = rig.request(RouterTestHarness.ANY);
+    void responsesToEarlierAttemptsDoNotReadmitAnOutlier() {
+        // Incident h25ee0b: responses to old attempts readmitted an outlier many times a second.
+        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
+        long earlier = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 5; i++) {
-            rig.now += MS;
-            long id = rig.request(RouterTestHarness.ANY);
-            if ("r1".equals(rig.sentTo(id))) {
-                rig.outcome(id, AttemptResult.ERROR, Role.REPLICA, AbsentValue.NONE);
+            harness.now += MICROS_PER_MILLI;
+            long id = harness.request(RouterTestHarness.EVENTUAL_READ);
+            if ("r1".equals(harness.sentTo(id))) {
+                harness.endAttempt(id, AttemptResult.ERROR, Role.REPLICA, AbsentValue.NONE);
             }
         }
-        assertTrue(rig.actions.contains("log r1 ejected: failure rate"));
-        rig.ok(earlier);
-        assertFalse(rig.actions.contains("log r1 readmitted"));
-        rig.advance(600 * MS);
-        long trial = rig.request(RouterTestHarness.ANY);
-        assertTrue(rig.actions.stream().anyMatch(a -> a.endsWith(" r1") && a.startsWith("send")));
-        assertFalse(rig.failed(trial));
+        assertTrue(harness.actions.contains("log r1 ejected: failure rate"));
+        harness.succeed(earlier);
+        assertFalse(harness.actions.contains("log r1 readmitted"));
+        harness.advance(600 * MICROS_PER_MILLI);
+        long trial = harness.request(RouterTestHarness.EVENTUAL_READ);
+        assertTrue(harness.actions.stream().anyMatch(a -> a.endsWith(" r1") && a.startsWith("send")));
+        assertFalse(harness.isFailed(trial));
     }
 }
--- a/src/test/java/crankwick/routing/TestSettings.java
+++ b/src/test/java/crankwick/routing/TestSettings.java
@@ -12,14 +12,15 @@
 import crankwick.routing.api.StaleReadPolicy;
 import java.util.List;
 
-/** Settings that tests of the broker share: one class, a keyed write whose repeats its own group discards. */
+/** Settings that tests of the broker share: one class, a write with an idempotency key that its group deduplicates. */
 public final class TestSettings {
-    private static final long MS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private TestSettings() {}
 
-    /** Times are microseconds. */
-    public static RoutingSettings keyedWrite(long keyTtl, long deadline, long connectTimeout, boolean probes) {
+    /** Creates the settings; times are in microseconds. */
+    public static RoutingSettings keyedWrite(
+            long keyTtl, long deadline, long connectTimeout, boolean healthChecksAllowed) {
         return new RoutingSettings(
                 1,
                 0,
@@ -28,8 +29,15 @@
                 true,
                 StaleReadPolicy.WAIT,
                 RoleVisibility.DELAYED,
-                new RoutingRules(20 * MS, 2_000 * MS, false, 0.18, 16_000 * MS, 2.5, 2_000 * MS),
-                new RoutingLimits(probes, true, true, 2_000 * MS, 8, connectTimeout),
+                new RoutingRules(
+                        20 * MICROS_PER_MILLI,
+                        2_000 * MICROS_PER_MILLI,
+                        false,
+                        0.18,
+                        16_000 * MICROS_PER_MILLI,
+                        2.5,
+                        2_000 * MICROS_PER_MILLI),
+                new RoutingLimits(healthChecksAllowed, true, true, 2_000 * MICROS_PER_MILLI, 8, connectTimeout),
                 new CostWeights(0.01, 0.02, 0.05),
                 List.of(new RequestClass(
                         ConsistencyLevel.WRITE,
@@ -37,7 +45,7 @@
                         Idempotency.WITH_KEY,
                         DeduplicationScope.GROUP,
                         keyTtl,
-                        750 * MS,
+                        750 * MICROS_PER_MILLI,
                         deadline,
                         6,
                         0.5)));
