--- a/src/main/java/crankwick/routing/AttemptTracker.java
+++ b/src/main/java/crankwick/routing/AttemptTracker.java
@@ -59,7 +59,7 @@
     /** Looks after the group's attempts that are due for it. */
     void checkLongRunning(EndpointGroup group, long now, RoutingActions actions) {
         for (PendingRequest request : group.inFlight().values()) {
-            if (request.nextCheckAt() <= now && !request.isAnswered()) {
+            if (request.nextCheckAt() <= now && !request.isClosed()) {
                 request.scheduleCheck(now + HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS);
                 checkAttempt(request, now, actions);
             }
--- a/src/main/java/crankwick/routing/EndpointObserver.java
+++ b/src/main/java/crankwick/routing/EndpointObserver.java
@@ -61,12 +61,12 @@
     }
 
     /** Records the start of its process and the role that the endpoint list gives. */
-    void recordListing(EndpointState endpoint, Endpoint listing, long now, RoutingActions actions) {
-        if (listing.startedAt() > endpoint.slowStart().startedAt()) {
-            recordRestart(endpoint, listing.startedAt(), "restarted", now, actions);
+    void recordListEntry(EndpointState endpoint, Endpoint entry, long now, RoutingActions actions) {
+        if (entry.startedAt() > endpoint.slowStart().startedAt()) {
+            recordRestart(endpoint, entry.startedAt(), "restarted", now, actions);
         }
         if (settings.roleVisibility() != RoleVisibility.HIDDEN
-                && listing.role() == Role.PRIMARY
+                && entry.role() == Role.PRIMARY
                 && endpoint.role() == Role.UNKNOWN) {
             recordRole(endpoint, Role.PRIMARY, LISTED_ROLE_AS_OF, actions);
         }
@@ -90,7 +90,7 @@
             EndpointState endpoint, PendingRequest request, AttemptOutcome outcome, long now, RoutingActions actions) {
         AttemptResult result = outcome.result();
         boolean isCommit = request.isWrite() && result == AttemptResult.OK;
-        if (tellsOwnPosition(outcome, isCommit)) {
+        if (carriesOwnPosition(outcome, isCommit)) {
             endpoint.position().advance(outcome.position(), now);
         }
         recordRole(endpoint, outcome.role(), now - RESPONSE_ROLE_AGE_MICROS, actions);
@@ -113,7 +113,7 @@
     }
 
     /** The position in the response to a write is that of the commit, which a replica may not have applied. */
-    private static boolean tellsOwnPosition(AttemptOutcome outcome, boolean isCommit) {
+    private static boolean carriesOwnPosition(AttemptOutcome outcome, boolean isCommit) {
         return outcome.position() != AbsentValue.NONE
                 && (outcome.role() == Role.PRIMARY || outcome.role() == Role.REPLICA && !isCommit);
     }
--- a/src/main/java/crankwick/routing/EndpointRegistry.java
+++ b/src/main/java/crankwick/routing/EndpointRegistry.java
@@ -52,15 +52,15 @@
     }
 
     /** Applies one entry of the endpoint list and returns its endpoint, created if it is new. */
-    EndpointState register(Endpoint listing, long now) {
-        EndpointState endpoint = endpoints.get(listing.id());
+    EndpointState register(Endpoint entry, long now) {
+        EndpointState endpoint = endpoints.get(entry.id());
         if (endpoint == null) {
-            EndpointGroup group = groups.computeIfAbsent(listing.groupId(), this::newGroup);
-            endpoint = new EndpointState(listing, group, settings);
+            EndpointGroup group = groups.computeIfAbsent(entry.groupId(), this::newGroup);
+            endpoint = new EndpointState(entry, group, settings);
             endpoints.put(endpoint.id(), endpoint);
             group.add(endpoint);
         }
-        endpoint.updateStatus(listing.status(), now);
+        endpoint.updateStatus(entry.status(), now);
         return endpoint;
     }
 
--- a/src/main/java/crankwick/routing/EndpointState.java
+++ b/src/main/java/crankwick/routing/EndpointState.java
@@ -30,9 +30,9 @@
     private Role role = Role.UNKNOWN;
     private long roleAsOf = Long.MIN_VALUE;
 
-    EndpointState(Endpoint listing, EndpointGroup group, RoutingSettings settings) {
-        id = listing.id();
-        zone = listing.zone();
+    EndpointState(Endpoint entry, EndpointGroup group, RoutingSettings settings) {
+        id = entry.id();
+        zone = entry.zone();
         this.group = group;
         usableWhenUnlisted = settings.rules().unlistedEndpointsUsable();
         concurrency = new ConcurrencyLimit(settings.proxyCount());
--- a/src/main/java/crankwick/routing/HealthStatus.java
+++ b/src/main/java/crankwick/routing/HealthStatus.java
@@ -52,7 +52,7 @@
                 && now - unresponsiveSince > interval;
     }
 
-    /** Whether it responded within the interval, or has never been heard and is taken at its listing. */
+    /** Whether it responded within the interval, or has never responded and is trusted as listed. */
     boolean hasRespondedWithin(long interval, long now) {
         return now - lastResponseAt <= interval || lastResponseAt == NEVER;
     }
--- a/src/main/java/crankwick/routing/OpenRequests.java
+++ b/src/main/java/crankwick/routing/OpenRequests.java
@@ -77,7 +77,7 @@
         if (request == null) {
             return;
         }
-        request.markAnswered();
+        request.markClosed();
         request.group().stopSeekingPrimary(request);
         if (request.endpoint() == null) {
             requests.remove(request.id());
--- a/src/main/java/crankwick/routing/PendingRequest.java
+++ b/src/main/java/crankwick/routing/PendingRequest.java
@@ -25,7 +25,7 @@
     private EndpointState endpoint;
     private long attemptSentAt;
     private long nextCheckAt;
-    private boolean answered;
+    private boolean closed;
     /** Where an attempt may have been executed, and when it was sent. */
     private EndpointState possiblyExecutedAt;
 
@@ -96,8 +96,9 @@
         return nextCheckAt;
     }
 
-    boolean isAnswered() {
-        return answered;
+    /** Whether it needs no further answer: it has had one, or its client has disconnected. */
+    boolean isClosed() {
+        return closed;
     }
 
     EndpointState possiblyExecutedAt() {
@@ -174,7 +175,7 @@
         return attemptedEndpoints.contains(target);
     }
 
-    void markAnswered() {
-        answered = true;
+    void markClosed() {
+        closed = true;
     }
 }
--- a/src/main/java/crankwick/routing/RequestDispatcher.java
+++ b/src/main/java/crankwick/routing/RequestDispatcher.java
@@ -49,7 +49,7 @@
         Iterator<PendingRequest> queue = group.queue(classIndex).iterator();
         while (queue.hasNext()) {
             PendingRequest request = queue.next();
-            if (request.isAnswered()) {
+            if (request.isClosed()) {
                 queue.remove();
             } else if (loadShedder.isTooLate(request, now) || !group.hasAvailableEndpoint()) {
                 queue.remove();
--- a/src/main/java/crankwick/routing/Router.java
+++ b/src/main/java/crankwick/routing/Router.java
@@ -119,7 +119,7 @@
         if (!outcome.result().provesNotExecuted() && outcome.result() != AttemptResult.OK) {
             request.recordPossibleExecution(endpoint);
         }
-        if (outcome.answered() || request.isAnswered()) {
+        if (outcome.answered() || request.isClosed()) {
             openRequests.close(request);
         } else {
             openRequests.retryOrFinish(request, endpoint, outcome.result(), now, actions);
@@ -144,8 +144,8 @@
         if (update.kind() != EndpointUpdateKind.INCREMENTAL) {
             registry.unlistAll(now);
         }
-        for (Endpoint listing : update.endpoints()) {
-            observer.recordListing(registry.register(listing, now), listing, now, actions);
+        for (Endpoint entry : update.endpoints()) {
+            observer.recordListEntry(registry.register(entry, now), entry, now, actions);
         }
         registry.removeExpired(now);
         registry.groups().forEach(group -> dispatcher.dispatch(group, now, actions));
--- a/src/test/java/crankwick/routing/EndpointGroupTest.java
+++ b/src/test/java/crankwick/routing/EndpointGroupTest.java
@@ -19,8 +19,8 @@
     private final EndpointState b = addEndpoint("b");
 
     private EndpointState addEndpoint(String id) {
-        Endpoint listing = new Endpoint(id, 0, 1, Role.UNKNOWN, EndpointStatus.LIVE, 0);
-        EndpointState endpoint = new EndpointState(listing, group, settings);
+        Endpoint entry = new Endpoint(id, 0, 1, Role.UNKNOWN, EndpointStatus.LIVE, 0);
+        EndpointState endpoint = new EndpointState(entry, group, settings);
         group.add(endpoint);
         return endpoint;
     }
--- a/src/test/java/crankwick/routing/RouterTestHarness.java
+++ b/src/test/java/crankwick/routing/RouterTestHarness.java
@@ -89,6 +89,13 @@
         return harness;
     }
 
+    /** A harness with the default settings but for the number of proxies. */
+    static RouterTestHarness withProxies(int proxyCount) {
+        SettingsBuilder settings = new SettingsBuilder();
+        settings.proxyCount = proxyCount;
+        return withKnownGroup(settings.build());
+    }
+
     /** Adds endpoints to the endpoint list and has it delivered in full. */
     void listEndpoints(String... ids) {
         for (String id : ids) {
@@ -134,6 +141,10 @@
         return actions.contains("check " + id);
     }
 
+    long pendingHealthChecks() {
+        return actions.stream().filter(a -> a.startsWith("check ")).count();
+    }
+
     /** Moves the clock on in small steps and fires the timers that are due. */
     void advance(long span) {
         long until = now + span;
