--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -75,7 +75,7 @@
     }
 
     private int chainOf(long hash) {
-        return (int) (hash >>> 32) & chains.length - 1;
+        return (int) (hash >>> Integer.SIZE) & chains.length - 1;
     }
 
     /** The hash by which a group's key is known here. */
