--- a/src/main/java/crankwick/simulator/LineReader.java
+++ b/src/main/java/crankwick/simulator/LineReader.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -9,14 +10,22 @@
 
 /** Reads the wire's lines byte by byte and takes their parts, without a string for each. */
 final class LineReader {
+    /** Stands in a row for a field that is absent. */
+    static final long ABSENT_FIELD = Long.MIN_VALUE;
+
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    private static final int MAX_QUOTED_BYTES = 200;
+    private static final int REQUEST_ID_DIGITS = 16;
+    private static final int ROW_DECIMAL_PLACES = 6;
+
     private final InputStream in;
-    private byte[] buffer = new byte[1 << 16];
-    private int filled;
-    private int next;
-    private int start;
-    private int end;
-    private int at;
-    private long number;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int bufferedBytes;
+    private int nextLineStart;
+    private int lineStart;
+    private int lineEnd;
+    private int position;
+    private long lineNumber;
     private final Map<Integer, String> words = new HashMap<>();
 
     LineReader(InputStream in) {
@@ -25,52 +34,66 @@
 
     /** Moves to the next line; false at the end of input. */
     boolean nextLine() throws IOException {
-        int scan = next;
+        int scan = nextLineStart;
         while (true) {
-            for (; scan < filled; scan++) {
+            for (; scan < bufferedBytes; scan++) {
                 if (buffer[scan] == '\n') {
-                    start = next;
-                    end = scan;
-                    next = scan + 1;
-                    at = start;
-                    number++;
+                    selectLine(scan);
                     return true;
                 }
             }
-            scan -= next;
-            System.arraycopy(buffer, next, buffer, 0, filled - next);
-            filled -= next;
-            next = 0;
-            if (filled == buffer.length) {
-                buffer = Arrays.copyOf(buffer, buffer.length * 2);
-            }
-            int got = in.read(buffer, filled, buffer.length - filled);
-            if (got < 0) {
-                if (filled > 0) {
-                    start = 0;
-                    end = filled;
-                    number++;
-                    throw malformed("input ends within a line");
-                }
+            scan -= nextLineStart;
+            if (!readMore()) {
                 return false;
             }
-            filled += got;
         }
     }
 
+    private void selectLine(int end) {
+        lineStart = nextLineStart;
+        lineEnd = end;
+        nextLineStart = end + 1;
+        position = lineStart;
+        lineNumber++;
+    }
+
+    /** Moves the unread bytes to the buffer's front and reads further ones; false at the end of input. */
+    private boolean readMore() throws IOException {
+        System.arraycopy(buffer, nextLineStart, buffer, 0, bufferedBytes - nextLineStart);
+        bufferedBytes -= nextLineStart;
+        nextLineStart = 0;
+        if (bufferedBytes == buffer.length) {
+            buffer = Arrays.copyOf(buffer, buffer.length * 2);
+        }
+        int read = in.read(buffer, bufferedBytes, buffer.length - bufferedBytes);
+        if (read >= 0) {
+            bufferedBytes += read;
+            return true;
+        }
+        if (bufferedBytes > 0) {
+            lineStart = 0;
+            lineEnd = bufferedBytes;
+            lineNumber++;
+            throw malformed("input ends within a line");
+        }
+        return false;
+    }
+
+    /** An exception that names the line at fault. */
     WireException malformed(String what) {
-        String line = new String(buffer, start, Math.min(end - start, 200), StandardCharsets.UTF_8);
-        return new WireException("line " + number + ": " + what + ": " + line);
+        String line =
+                new String(buffer, lineStart, Math.min(lineEnd - lineStart, MAX_QUOTED_BYTES), StandardCharsets.UTF_8);
+        return new WireException("line " + lineNumber + ": " + what + ": " + line);
     }
 
-    boolean atEnd() {
-        return at >= end;
+    boolean isAtLineEnd() {
+        return position >= lineEnd;
     }
 
     /** The next part as a string; the same string each time for short parts. */
-    String word() {
-        int from = at;
-        int to = partEnd();
+    String nextWord() {
+        int from = position;
+        int to = skipPart();
         int hash = 7;
         for (int i = from; i < to; i++) {
             hash = hash * 31 + buffer[i];
@@ -96,36 +119,36 @@
         return true;
     }
 
-    private int partEnd() {
-        if (at >= end) {
+    private int skipPart() {
+        if (position >= lineEnd) {
             throw malformed("a part is missing");
         }
-        int to = at;
-        while (to < end && buffer[to] != ' ') {
+        int to = position;
+        while (to < lineEnd && buffer[to] != ' ') {
             to++;
         }
-        if (to == at) {
+        if (to == position) {
             throw malformed("an empty part");
         }
-        at = Math.min(to + 1, end);
+        position = Math.min(to + 1, lineEnd);
         return to;
     }
 
     /** The rest of the line. */
-    String text() {
-        String text = new String(buffer, at, end - at, StandardCharsets.UTF_8);
-        at = end;
+    String restOfLine() {
+        String text = new String(buffer, position, lineEnd - position, StandardCharsets.UTF_8);
+        position = lineEnd;
         return text;
     }
 
     /** The next part as a decimal number times 10^{@code places}, cut off; {@code absent} for a dash. */
-    long decimal(int places, long absent) {
-        int from = at;
-        int to = partEnd();
-        return to - from == 1 && buffer[from] == '-' ? absent : decimal(from, to, places);
+    long nextDecimal(int places, long absent) {
+        int from = position;
+        int to = skipPart();
+        return to - from == 1 && buffer[from] == '-' ? absent : parseDecimal(from, to, places);
     }
 
-    private long decimal(int from, int to, int places) {
+    private long parseDecimal(int from, int to, int places) {
         boolean negative = buffer[from] == '-';
         long value = 0;
         int fraction = -1;
@@ -143,7 +166,7 @@
                     fraction++;
                 }
             } else if ((b == 'e' || b == 'E') && digits > 0) {
-                return exponential(from, to, places);
+                return parseScientific(from, to, places);
             } else {
                 throw malformed("not a number");
             }
@@ -157,28 +180,28 @@
         return negative ? -value : value;
     }
 
-    private long exponential(int from, int to, int places) {
+    private long parseScientific(int from, int to, int places) {
         try {
             String text = new String(buffer, from, to - from, StandardCharsets.UTF_8);
-            return new java.math.BigDecimal(text).scaleByPowerOfTen(places).longValue();
+            return new BigDecimal(text).scaleByPowerOfTen(places).longValue();
         } catch (NumberFormatException e) {
             throw malformed("not a number");
         }
     }
 
-    long integer() {
-        return decimal(0, 0);
+    long nextInteger() {
+        return nextDecimal(0, 0);
     }
 
-    boolean bool() {
-        return integer() != 0;
+    boolean nextBoolean() {
+        return nextInteger() != 0;
     }
 
     /** A request id: 16 hex digits. */
-    long hex() {
-        int from = at;
-        int to = partEnd();
-        if (to - from != 16) {
+    long nextRequestId() {
+        int from = position;
+        int to = skipPart();
+        if (to - from != REQUEST_ID_DIGITS) {
             throw malformed("not a request id");
         }
         long value = 0;
@@ -192,10 +215,10 @@
         return value;
     }
 
-    /** The next part as comma-separated numbers, times 10^6; null for a dash. */
-    long[] row() {
-        int from = at;
-        int to = partEnd();
+    /** The next part as comma-separated numbers, times 10^6 or {@link #ABSENT_FIELD}; null for a dash. */
+    long[] nextRow() {
+        int from = position;
+        int to = skipPart();
         if (to - from == 1 && buffer[from] == '-') {
             return null;
         }
@@ -210,7 +233,7 @@
         for (int i = from; i <= to; i++) {
             if (i == to || buffer[i] == ',') {
                 boolean absent = i == from || i - from == 1 && buffer[from] == '-';
-                row[field++] = absent ? Long.MIN_VALUE : decimal(from, i, 6);
+                row[field++] = absent ? ABSENT_FIELD : parseDecimal(from, i, ROW_DECIMAL_PLACES);
                 from = i + 1;
             }
         }
--- a/src/main/java/crankwick/simulator/ReplyWriter.java
+++ b/src/main/java/crankwick/simulator/ReplyWriter.java
@@ -12,23 +12,29 @@
 /** Writes a router's actions as lines of the wire. */
 final class ReplyWriter implements RoutingActions {
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-    private static final long MAX_TIMER = 70L * 60 * 1_000_000;
+    /** The wire takes timers of 71 minutes at most. */
+    private static final long MAX_TIMER_MICROS = 70L * 60 * 1_000_000;
+
+    private static final int REQUEST_ID_DIGITS = 16;
+    private static final int MAX_NUMBER_DIGITS = 20;
+    private static final int MAX_CACHED_WORDS = 4_096;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final OutputStream out;
     private final Map<String, byte[]> encoded = new HashMap<>();
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
     private long instance;
-    private boolean named;
+    private boolean instanceWritten;
 
     ReplyWriter(OutputStream out) {
         this.out = out;
     }
 
-    /** The actions that follow belong to this instance. */
-    void at(long id) {
+    /** The actions that follow are those of this instance. */
+    void selectInstance(long id) {
         instance = id;
-        named = false;
+        instanceWritten = false;
     }
 
     /** Ends the reply. */
@@ -40,6 +46,7 @@
         size = 0;
     }
 
+    /** Reports that the decisions have failed. */
     void fatal(String what) {
         begin("fatal ");
         text(what.replaceAll("\\s+", " "));
@@ -47,58 +54,58 @@
     }
 
     @Override
-    public void send(long id, String server, long patience) {
+    public void send(long requestId, String endpointId, long timeout) {
         begin("route ");
-        hex(id);
+        hex(requestId);
         space();
-        text(server);
+        text(endpointId);
         space();
-        if (patience == AbsentValue.NONE) {
+        if (timeout == AbsentValue.NONE) {
             text("-");
         } else {
-            millis(patience);
+            millis(timeout);
         }
         endLine();
     }
 
     @Override
-    public void reject(long id, long retryAfter) {
+    public void reject(long requestId, long retryAfter) {
         begin("decline ");
-        hex(id);
+        hex(requestId);
         space();
         millis(retryAfter);
         endLine();
     }
 
     @Override
-    public void fail(long id) {
+    public void fail(long requestId) {
         begin("report_failure ");
-        hex(id);
+        hex(requestId);
         endLine();
     }
 
     @Override
-    public void checkHealth(String server) {
+    public void checkHealth(String endpointId) {
         begin("ask_load ");
-        text(server);
+        text(endpointId);
         endLine();
     }
 
     @Override
-    public void cancelAttempt(long id, int attempt) {
+    public void cancelAttempt(long requestId, int attempt) {
         begin("drop_attempt ");
-        hex(id);
+        hex(requestId);
         space();
         number(attempt);
         endLine();
     }
 
     @Override
-    public void scheduleTimer(long fromNow, long ref) {
+    public void scheduleTimer(long delay, long timerId) {
         begin("arm ");
-        millis(Math.min(Math.max(0, fromNow), MAX_TIMER));
+        millis(Math.min(Math.max(0, delay), MAX_TIMER_MICROS));
         space();
-        number(ref);
+        number(timerId);
         endLine();
     }
 
@@ -122,8 +129,8 @@
     }
 
     private void begin(String word) {
-        if (!named) {
-            named = true;
+        if (!instanceWritten) {
+            instanceWritten = true;
             text("at ");
             number(instance);
             endLine();
@@ -135,17 +142,17 @@
         byte[] bytes = encoded.get(s);
         if (bytes == null) {
             bytes = s.getBytes(StandardCharsets.UTF_8);
-            if (encoded.size() < 4096) {
+            if (encoded.size() < MAX_CACHED_WORDS) {
                 encoded.put(s, bytes);
             }
         }
-        room(bytes.length);
+        ensureCapacity(bytes.length);
         System.arraycopy(bytes, 0, buffer, size, bytes.length);
         size += bytes.length;
     }
 
     private void hex(long id) {
-        room(16);
+        ensureCapacity(REQUEST_ID_DIGITS);
         for (int shift = 60; shift >= 0; shift -= 4) {
             buffer[size++] = HEX[(int) (id >>> shift) & 15];
         }
@@ -155,7 +162,7 @@
         number(micros / 1000);
         int rest = (int) (micros % 1000);
         if (rest != 0) {
-            room(4);
+            ensureCapacity(4);
             buffer[size++] = '.';
             buffer[size++] = (byte) ('0' + rest / 100);
             buffer[size++] = (byte) ('0' + rest / 10 % 10);
@@ -164,7 +171,7 @@
     }
 
     private void number(long value) {
-        room(20);
+        ensureCapacity(MAX_NUMBER_DIGITS);
         if (value < 10 && value >= 0) {
             buffer[size++] = (byte) ('0' + value);
             return;
@@ -175,16 +182,16 @@
     }
 
     private void space() {
-        room(1);
+        ensureCapacity(1);
         buffer[size++] = ' ';
     }
 
     private void endLine() {
-        room(1);
+        ensureCapacity(1);
         buffer[size++] = '\n';
     }
 
-    private void room(int more) {
+    private void ensureCapacity(int more) {
         if (size + more > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + more));
         }
--- a/src/main/java/crankwick/simulator/SimulatorAdapter.java
+++ b/src/main/java/crankwick/simulator/SimulatorAdapter.java
@@ -1,20 +1,12 @@
 package crankwick.simulator;
 
 import crankwick.routing.Router;
-import crankwick.routing.api.AbsentValue;
-import crankwick.routing.api.AttemptOutcome;
-import crankwick.routing.api.AttemptResult;
 import crankwick.routing.api.Endpoint;
-import crankwick.routing.api.EndpointStatus;
 import crankwick.routing.api.EndpointUpdate;
 import crankwick.routing.api.EndpointUpdateKind;
-import crankwick.routing.api.HealthCheckResult;
-import crankwick.routing.api.LoadReport;
 import crankwick.routing.api.RequestAbandoned;
 import crankwick.routing.api.ResponseStarted;
-import crankwick.routing.api.Role;
 import crankwick.routing.api.RoutingEvent;
-import crankwick.routing.api.RoutingRequest;
 import crankwick.routing.api.TimerFired;
 import crankwick.settings.SettingsCodec;
 import java.io.IOException;
@@ -27,119 +19,79 @@
 
 /** Turns batches of wire lines into events for the routers that it hosts, and their actions into replies. */
 final class SimulatorAdapter {
-    private static final Map<String, AttemptResult> RESULTS = Map.of(
-            "Ok",
-            AttemptResult.OK,
-            "Failed",
-            AttemptResult.ERROR,
-            "QueueFull",
-            AttemptResult.REJECTED_OVERLOADED,
-            "TimedOut",
-            AttemptResult.TIMEOUT,
-            "ConnectError",
-            AttemptResult.UNREACHABLE,
-            "ResetByPeer",
-            AttemptResult.RESET,
-            "Canceled",
-            AttemptResult.CANCELLED,
-            "Ignored",
-            AttemptResult.NOT_SENT,
-            "Miss",
-            AttemptResult.INELIGIBLE_REPLICA);
-    private static final Map<String, EndpointUpdateKind> LIST_KINDS = Map.of(
-            "update",
-            EndpointUpdateKind.INCREMENTAL,
-            "replace",
-            EndpointUpdateKind.FULL,
-            "restored",
-            EndpointUpdateKind.RESTORED,
-            "unavailable",
-            EndpointUpdateKind.UNAVAILABLE);
-    private static final Map<String, EndpointStatus> STANDINGS =
-            Map.of("live", EndpointStatus.LIVE, "quiescing", EndpointStatus.DRAINING, "dead", EndpointStatus.REMOVED);
-    private static final Role[] ROLES = {Role.UNKNOWN, Role.PRIMARY, Role.REPLICA, Role.UNKNOWN};
-    private static final long ABSENT = Long.MIN_VALUE;
-
-    private static final class Instance {
-        final SettingsCodec codec;
-        final Router router;
-
-        Instance(SettingsCodec codec, Router router) {
-            this.codec = codec;
-            this.router = router;
-        }
-    }
+    /** One simulated proxy. */
+    private record Instance(SettingsCodec settings, Router router) {}
 
     private final LineReader in;
+    private final EventDecoder decoder;
     private final ReplyWriter out;
     private final Map<Long, Instance> instances = new HashMap<>();
-    private final List<List<Endpoint>> lists = new ArrayList<>();
+    private final List<List<Endpoint>> endpointLists = new ArrayList<>();
     private long now;
-    private long id;
+    private long currentId;
+    /** The instance that lines concern; null where it does not run. */
     private Instance current;
 
     SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new LineReader(in);
         this.out = new ReplyWriter(out);
+        decoder = new EventDecoder(this.in);
     }
 
     /** Answers batches until the input ends. */
     void run() throws IOException {
         while (in.nextLine()) {
-            if (in.atEnd()) {
+            if (in.isAtLineEnd()) {
                 continue;
             }
-            if (!in.word().equals("sync")) {
+            if (!in.nextWord().equals("sync")) {
                 throw in.malformed("a batch must begin with sync");
             }
-            now = in.decimal(3, 0);
-            batch();
+            now = in.nextDecimal(EventDecoder.MILLIS_TO_MICROS, 0);
+            handleBatch();
             out.flush();
         }
     }
 
-    private void batch() throws IOException {
+    private void handleBatch() throws IOException {
         while (true) {
             if (!in.nextLine()) {
                 throw in.malformed("input ends within a batch");
             }
-            if (in.atEnd()) {
+            if (in.isAtLineEnd()) {
                 continue;
             }
-            String word = in.word();
-            if (word.equals("go")) {
+            String message = in.nextWord();
+            if (message.equals("go")) {
                 return;
             }
-            line(word);
+            handleMessage(message);
         }
     }
 
-    private void line(String word) throws IOException {
-        switch (word) {
-            case "instance" -> {
-                id = in.integer();
-                current = instances.get(id);
-                out.at(id);
-            }
-            case "define_list" -> defineList();
-            case "enlist" -> enlist();
-            case "crash_now" -> {
-                instances.remove(id);
-                current = null;
-            }
-            case "membership" -> membership();
-            case "knock" -> tell(knock());
-            case "outcome" -> tell(outcome());
-            case "pong" -> tell(pong());
-            case "timeout_fired" -> tell(new TimerFired(in.integer()));
-            case "expired" -> tell(new RequestAbandoned(in.hex()));
-            case "established" -> tell(new ResponseStarted(in.hex()));
-            case "whisper" -> {}
+    private void handleMessage(String message) throws IOException {
+        switch (message) {
+            case "instance" -> selectInstance();
+            case "define_list" -> defineEndpointList();
+            case "enlist" -> startInstance();
+            case "crash_now" -> stopInstance();
+            case "membership" -> handle(endpointUpdate());
+            case "knock" -> handle(decoder.request(settings()));
+            case "outcome" -> handle(decoder.outcome(settings()));
+            case "pong" -> handle(decoder.healthCheck(settings()));
+            case "timeout_fired" -> handle(new TimerFired(in.nextInteger()));
+            case "expired" -> handle(new RequestAbandoned(in.nextRequestId()));
+            case "established" -> handle(new ResponseStarted(in.nextRequestId()));
+            case "whisper" -> {} // Instances do not talk to each other.
             default -> throw in.malformed("unknown message");
         }
     }
 
-    private void tell(RoutingEvent event) {
+    private SettingsCodec settings() {
+        return current == null ? null : current.settings;
+    }
+
+    private void handle(RoutingEvent event) {
         if (current == null) {
             return;
         }
@@ -152,139 +104,61 @@
         }
     }
 
-    private void enlist() {
-        long seed = in.integer();
-        String config = in.text();
+    private void selectInstance() {
+        currentId = in.nextInteger();
+        current = instances.get(currentId);
+        out.selectInstance(currentId);
+    }
+
+    private void startInstance() {
+        long seed = in.nextInteger();
+        String config = in.restOfLine();
         try {
-            SettingsCodec codec = new SettingsCodec(config);
-            current = new Instance(codec, new Router(codec.routingSettings(), seed));
+            SettingsCodec settings = new SettingsCodec(config);
+            current = new Instance(settings, new Router(settings.routingSettings(), seed));
         } catch (IllegalArgumentException e) {
             throw in.malformed(e.getMessage());
         }
-        instances.put(id, current);
+        instances.put(currentId, current);
+    }
+
+    private void stopInstance() {
+        instances.remove(currentId);
+        current = null;
     }
 
-    private void defineList() throws IOException {
-        int set = (int) in.integer();
-        int count = (int) in.integer();
-        if (set < 0 || count < 0) {
+    private void defineEndpointList() throws IOException {
+        int listNumber = (int) in.nextInteger();
+        int size = (int) in.nextInteger();
+        if (listNumber < 0 || size < 0) {
             throw in.malformed("not a list");
         }
-        List<Endpoint> members = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            if (!in.nextLine() || !in.word().equals("item")) {
+        List<Endpoint> endpoints = new ArrayList<>(size);
+        for (int i = 0; i < size; i++) {
+            if (!in.nextLine() || !in.nextWord().equals("item")) {
                 throw in.malformed("an item is missing");
             }
-            members.add(item());
-        }
-        while (lists.size() <= set) {
-            lists.add(List.of());
+            endpoints.add(decoder.endpoint());
         }
-        lists.set(set, members);
-    }
-
-    private Endpoint item() {
-        String server = in.word();
-        int zone = (int) in.integer();
-        in.word();
-        long group = in.integer();
-        Role role = in.decimal(0, 0) == 1 ? Role.PRIMARY : Role.UNKNOWN;
-        EndpointStatus standing = STANDINGS.get(in.word());
-        if (standing == null) {
-            throw in.malformed("unknown lifecycle");
+        while (endpointLists.size() <= listNumber) {
+            endpointLists.add(List.of());
         }
-        in.word();
-        return new Endpoint(server, zone, group, role, standing, in.atEnd() ? 0 : in.decimal(3, 0));
+        endpointLists.set(listNumber, endpoints);
     }
 
-    private void membership() {
-        EndpointUpdateKind kind = LIST_KINDS.get(in.word());
+    private EndpointUpdate endpointUpdate() {
+        EndpointUpdateKind kind = WireWords.UPDATE_KINDS.get(in.nextWord());
         if (kind == null) {
             throw in.malformed("unknown kind of list");
         }
-        in.word();
-        int set = (int) in.integer();
-        boolean none = kind == EndpointUpdateKind.UNAVAILABLE;
-        if (!none && (set < 0 || set >= lists.size())) {
-            throw in.malformed("unknown list");
+        in.nextWord();
+        int listNumber = (int) in.nextInteger();
+        if (kind == EndpointUpdateKind.UNAVAILABLE) {
+            return new EndpointUpdate(kind, List.of());
         }
-        tell(new EndpointUpdate(kind, none ? List.of() : lists.get(set)));
-    }
-
-    private RoutingRequest knock() {
-        long xid = in.hex();
-        long tokenAge = in.decimal(3, AbsentValue.NONE);
-        long group = in.integer();
-        in.word();
-        int classIndex = (int) in.integer();
-        in.word();
-        in.word();
-        long expires = in.decimal(3, 0);
-        long session = in.atEnd() ? AbsentValue.NONE : in.decimal(0, AbsentValue.NONE);
-        if (current != null
-                && (classIndex < 0
-                        || classIndex
-                                >= current.codec
-                                        .routingSettings()
-                                        .requestClasses()
-                                        .size())) {
-            throw in.malformed("unknown class");
-        }
-        return new RoutingRequest(xid, classIndex, group, session, tokenAge, expires);
-    }
-
-    private AttemptOutcome outcome() {
-        long xid = in.hex();
-        boolean over = in.bool();
-        long note = in.decimal(0, 0);
-        AttemptResult result = result();
-        long duration = in.decimal(3, 0);
-        String server = in.word();
-        int copy = (int) in.integer();
-        long position =
-                note >> 2 == 0 || current == null ? AbsentValue.NONE : current.codec.timeOrigin() + (note >> 2) * 1000;
-        return new AttemptOutcome(
-                xid, copy, over, result, duration, server, ROLES[(int) (note & 3)], position, report());
-    }
-
-    private HealthCheckResult pong() {
-        AttemptResult result = result();
-        long duration = in.decimal(3, 0);
-        return new HealthCheckResult(in.word(), result, duration, report());
-    }
-
-    private AttemptResult result() {
-        AttemptResult result = RESULTS.get(in.word());
-        if (result == null) {
-            throw in.malformed("unknown result");
-        }
-        return result;
-    }
-
-    private LoadReport report() {
-        long[] row = in.atEnd() ? null : in.row();
-        if (row == null || current == null) {
-            return null;
-        }
-        long position = AbsentValue.NONE;
-        Role role = Role.UNKNOWN;
-        double backlog = Double.NaN;
-        double utilization = Double.NaN;
-        double inFlight = Double.NaN;
-        List<String> fields = current.codec.reportFields();
-        for (int i = 0; i < Math.min(row.length, fields.size()); i++) {
-            if (row[i] == ABSENT) {
-                continue;
-            }
-            switch (fields.get(i)) {
-                case "x0" -> position = current.codec.timeOrigin() + row[i];
-                case "x1" -> role = row[i] == 1_000_000 ? Role.PRIMARY : Role.REPLICA;
-                case "backlog" -> backlog = row[i] / 1e6;
-                case "utilization" -> utilization = row[i] / 1e6;
-                case "outstanding" -> inFlight = row[i] / 1e6;
-                default -> {}
-            }
+        if (listNumber < 0 || listNumber >= endpointLists.size()) {
+            throw in.malformed("unknown list");
         }
-        return new LoadReport(position, role, backlog, utilization, inFlight);
+        return new EndpointUpdate(kind, endpointLists.get(listNumber));
     }
 }
--- a/src/main/java/crankwick/simulator/SimulatorCommand.java
+++ b/src/main/java/crankwick/simulator/SimulatorCommand.java
@@ -7,6 +7,8 @@
 
 /** Hosts routers on the simulator's wire: standard input to standard output. */
 public final class SimulatorCommand {
+    private static final int EXIT_MALFORMED_INPUT = 2;
+
     private SimulatorCommand() {}
 
     /** Returns at the end of input; exits 2 on malformed input. */
@@ -16,7 +18,7 @@
                     .run();
         } catch (WireException e) {
             System.err.println(e.getMessage());
-            System.exit(2);
+            System.exit(EXIT_MALFORMED_INPUT);
         }
     }
 }
--- a/src/test/java/crankwick/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/crankwick/simulator/SimulatorAdapterTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The codec and the host, on every message of the wire. */
+/** The adapter and its writer, on every message of the wire. */
 class SimulatorAdapterTest {
     private static String reply(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -24,13 +24,13 @@
     }
 
     @Test
-    void emptyBatch() throws IOException {
+    void emptyBatchIsAnswered() throws IOException {
         assertEquals("ready\n", reply("sync 8412.25\ngo\n"));
     }
 
     @Test
     void everyEventIsUnderstood() throws IOException {
-        String out = reply(WireScript.START
+        String out = reply(WireTranscript.START
                 + "sync 5001\ninstance 0\nknock 00000000000000ff - 4 0 1 - 4 5801.5 77\ngo\n"
                 + "sync 5020\ninstance 0\noutcome 00000000000000ff 1 16079 Ok 18.5 10.0.0.1:1 0 -\n"
                 + "knock 00000000000000aa - 4 0 0 - 0 5801.5 77\ngo\n"
@@ -45,9 +45,9 @@
     }
 
     @Test
-    void positionsAreCountedFromTheSettingsZero() throws IOException {
+    void positionsAreCountedFromTheTimeOrigin() throws IOException {
         // The commit stands at 1000.5 + 4019 ms; a report of 4.019 s is level with it, 4.018 s is not.
-        String write = WireScript.START + "sync 5001\ninstance 0\n"
+        String write = WireTranscript.START + "sync 5001\ninstance 0\n"
                 + "knock 00000000000000ff - 4 0 1 - 4 5801.5 77\ngo\nsync 5020\ninstance 0\n"
                 + "outcome 00000000000000ff 1 16077 Ok 18.5 10.0.0.1:1 0 -\ngo\n"
                 + "sync 5045\ninstance 0\ntimeout_fired 5\ngo\n";
@@ -91,7 +91,7 @@
                 "when-behind"
             })
     void missingSettingIsNamed(String key) {
-        String config = WireScript.CONFIG.replace("\"" + key + "\"", "\"other\"");
+        String config = WireTranscript.CONFIG.replace("\"" + key + "\"", "\"other\"");
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> new SettingsCodec(config));
         assertTrue(e.getMessage().contains(key), e.getMessage());
     }
@@ -114,11 +114,11 @@
             })
     void settingOfTheWrongTypeIsNamed(String path) {
         String[] names = path.split("\\.");
-        for (String wrong : new String[] {"{\"odd\":1}", "[[1],[1]]"}) {
-            JsonObject root = JsonParser.parseString(WireScript.CONFIG).getAsJsonObject();
+        for (String wrongValue : new String[] {"{\"odd\":1}", "[[1],[1]]"}) {
+            JsonObject root = JsonParser.parseString(WireTranscript.CONFIG).getAsJsonObject();
             JsonObject holder = names.length == 1 ? root : root.getAsJsonObject(names[0]);
-            holder.add(names[names.length - 1], JsonParser.parseString(wrong));
-            boolean harmless = path.equals("report") && wrong.startsWith("{");
+            holder.add(names[names.length - 1], JsonParser.parseString(wrongValue));
+            boolean harmless = path.equals("report") && wrongValue.startsWith("{");
             if (harmless) {
                 continue;
             }
@@ -136,7 +136,7 @@
             {"\"session\"", "\"odd\"", "freshness"},
             {"\"ramp-time-ms\":10000", "\"ramp-time-ms\":-1", "slowStartDuration"}
         }) {
-            String config = WireScript.CONFIG.replace(change[0], change[1]);
+            String config = WireTranscript.CONFIG.replace(change[0], change[1]);
             IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> new SettingsCodec(config));
             assertTrue(e.getMessage().contains(change[2]), e.getMessage());
         }
@@ -146,7 +146,7 @@
     void actionsAreWrittenAsTheWireHasThem() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ReplyWriter writer = new ReplyWriter(out);
-        writer.at(3);
+        writer.selectInstance(3);
         writer.send(0xff3f2b5f5d3a91c4L, "10.0.0.1:1", 80_250);
         writer.reject(1, 250_000);
         writer.fail(1);
--- a/src/test/java/crankwick/simulator/JarIT.java
+++ b/src/test/java/crankwick/simulator/SimulatorCommandIT.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Drives the built jar over its standard input and output, as the operators start it. */
-class JarIT {
+class SimulatorCommandIT {
     @TempDir
     private Path folder;
 
@@ -45,7 +45,7 @@
     @Test
     void answersATranscriptAndExitsAtTheEndOfInput() throws Exception {
         int status =
-                run(WireScript.START + "sync 5001\ninstance 0\nknock 00000000000000ff - 4 0 1 - 4 5801.5 77\ngo\n");
+                run(WireTranscript.START + "sync 5001\ninstance 0\nknock 00000000000000ff - 4 0 1 - 4 5801.5 77\ngo\n");
         assertEquals(0, status, read("err"));
         assertTrue(read("out").contains("route 00000000000000ff 10.0.0.1:1 -\n"), read("out"));
         assertTrue(read("out").endsWith("ready\n"));
--- a/src/test/java/crankwick/simulator/WireScript.java
+++ b/src/test/java/crankwick/simulator/WireTranscript.java
@@ -1,7 +1,7 @@
 package crankwick.simulator;
 
 /** A transcript of the wire of this project's own making. */
-final class WireScript {
+final class WireTranscript {
     static final String CONFIG = "{\"balancers\":2,\"my-zone\":0,\"discovery\":\"ask\",\"unheard-of\":[1],"
             + "\"bounds\":{\"probes\":true,\"may-cancel\":true,\"retry-after\":true,"
             + "\"max-retry-after-ms\":500,\"max-attempts\":8,\"connect-timeout-ms\":250},"
@@ -21,5 +21,5 @@
             + "item 10.0.0.1:1 0 0 4 1 live 1 -\nitem 10.0.0.2:1 0 0 4 0 live 1.5 100.0\n"
             + "membership restored 1 0\nwhisper 1 00\ngo\n";
 
-    private WireScript() {}
+    private WireTranscript() {}
 }
