--- a/src/test/java/crankwick/app/FailoverIT.java
+++ b/src/test/java/crankwick/app/FailoverIT.java
@@ -88,7 +88,7 @@
                 proxy.waitFor();
             }
             reader.join(5_000);
-            assertTrue(log.stream().anyMatch(line -> line.contains("handover: changes=")), log.toString());
+            assertTrue(log.stream().anyMatch(line -> line.contains("handover: failovers=")), log.toString());
         }
     }
 
@@ -141,7 +141,7 @@
             assertTrue(
                     emulation.ledger().isSound(), emulation.ledger().figures().toString());
             done.forEach(d -> assertToldAsItWent(d, emulation.ledger().timesApplied(d.key())));
-            assertTrue(log.stream().anyMatch(line -> line.contains("handover: changes=")), log.toString());
+            assertTrue(log.stream().anyMatch(line -> line.contains("handover: failovers=")), log.toString());
         }
     }
 
