--- a/src/main/java/crankwick/app/Commands.java
+++ b/src/main/java/crankwick/app/Commands.java
@@ -160,11 +160,11 @@
                 out.println("discovery at 127.0.0.1:" + emulation.listPort());
                 out.println(emulation.list());
                 out.flush();
-                emulation.trouble(changes, every * 1_000);
+                emulation.scheduleFaults(changes, every * 1_000);
                 Thread.sleep(seconds * 1_000);
-                out.println(new Gson().toJson(emulation.ledger().figures()));
+                out.println(new Gson().toJson(emulation.executionLog().figures()));
                 out.flush();
-                return emulation.ledger().isSound() ? 0 : 1;
+                return emulation.executionLog().isSound() ? 0 : 1;
             }
         }
     }
--- a/src/main/java/crankwick/emulator/ExecutionLog.java
+++ b/src/main/java/crankwick/emulator/ExecutionLog.java
@@ -6,73 +6,89 @@
 import java.util.List;
 import java.util.Map;
 
-/** What emulated databases have done, for whoever compares it with what clients were told. */
+/** What emulated databases have done, for whoever compares it with the replies that clients got. */
 public final class ExecutionLog {
     /**
-     * A time without a primary, in Unix microseconds; Long.MAX_VALUE while it lasts. {@code cold}: who
-     * ended it had started too lately to be warm, so that it could not be sent all that waited.
+     * A time without a leader.
+     *
+     * @param from its begin, in Unix microseconds
+     * @param until its end; Long.MAX_VALUE while it lasts
+     * @param planned whether the leader drained
+     * @param warmingUp whether the leader that ended it was not warm, so that it could not be sent all that waited
      */
-    public record Vacancy(int group, long from, long until, boolean planned, boolean cold) {}
+    public record LeaderlessPeriod(int group, long from, long until, boolean planned, boolean warmingUp) {
+        boolean lasts() {
+            return until == Long.MAX_VALUE;
+        }
+
+        LeaderlessPeriod endedAt(long time, boolean leaderWarmingUp) {
+            return new LeaderlessPeriod(group, from, time, planned, leaderWarmingUp);
+        }
+    }
 
-    private final Map<String, Integer> applied = new HashMap<>();
-    private final List<Vacancy> vacancies = new ArrayList<>();
-    private long changes;
-    private long fallen;
-    private long secondAttempts;
+    private final Map<String, Integer> timesApplied = new HashMap<>();
+    private final List<LeaderlessPeriod> leaderlessPeriods = new ArrayList<>();
+    private long failovers;
+    private long collapses;
+    private long concurrentAttempts;
     private long appliedTwice;
 
-    synchronized void applied(String key, int times) {
-        if (applied.merge(key, times, Integer::sum) > 1 && times > 0) {
+    synchronized void recordApplied(String key) {
+        if (timesApplied.merge(key, 1, Integer::sum) > 1) {
             appliedTwice++;
         }
     }
 
-    synchronized void vacant(int group, long at, boolean planned) {
-        vacancies.add(new Vacancy(group, at, Long.MAX_VALUE, planned, false));
+    synchronized void recordRolledBack(String key) {
+        timesApplied.merge(key, -1, Integer::sum);
     }
 
-    synchronized void led(int group, long at, boolean anew, boolean cold) {
-        changes += anew ? 1 : 0;
-        vacancies.replaceAll(v ->
-                v.group == group && v.until == Long.MAX_VALUE ? new Vacancy(group, v.from, at, v.planned, cold) : v);
+    synchronized void recordLeaderLost(int group, long at, boolean planned) {
+        leaderlessPeriods.add(new LeaderlessPeriod(group, at, Long.MAX_VALUE, planned, false));
     }
 
-    /** When groups took no writes, in the order of their beginnings. */
-    public synchronized List<Vacancy> vacancies() {
-        return List.copyOf(vacancies);
+    synchronized void recordLeaderElected(int group, long at, boolean changed, boolean warmingUp) {
+        failovers += changed ? 1 : 0;
+        leaderlessPeriods.replaceAll(
+                period -> period.group() == group && period.lasts() ? period.endedAt(at, warmingUp) : period);
+    }
+
+    synchronized void recordCollapse() {
+        collapses++;
     }
 
-    synchronized void fell() {
-        fallen++;
+    synchronized void recordConcurrentAttempt() {
+        concurrentAttempts++;
     }
 
-    synchronized void secondAttempt() {
-        secondAttempts++;
+    /** When groups took no writes, in the order of their beginnings. */
+    public synchronized List<LeaderlessPeriod> leaderlessPeriods() {
+        return List.copyOf(leaderlessPeriods);
     }
 
     /** How many times a key stands in its group's log now. */
     public synchronized int timesApplied(String key) {
-        return applied.getOrDefault(key, 0);
+        return timesApplied.getOrDefault(key, 0);
     }
 
-    /** Changes of primaries so far. */
+    /** Changes of leaders so far. */
     public synchronized long changes() {
-        return changes;
+        return failovers;
     }
 
-    /** False if a key was applied twice, a request was at two databases at once, or one was pushed over. */
+    /** False if a key was applied twice, a request was at two databases at once, or one collapsed. */
     public synchronized boolean isSound() {
-        return appliedTwice + secondAttempts + fallen == 0;
+        return appliedTwice + concurrentAttempts + collapses == 0;
     }
 
-    /** All figures by name; of them only "changes" and "keys" may be other than 0. */
+    /** All figures under the names that the command line prints; only "changes" and "keys" may be other than 0. */
     public synchronized Map<String, Object> figures() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("changes", changes);
-        all.put("keys", applied.size());
-        all.put("applied_twice", appliedTwice);
-        all.put("second_attempts", secondAttempts);
-        all.put("fallen", fallen);
-        return all;
+        Map<String, Object> figures = new LinkedHashMap<>();
+        figures.put("changes", failovers);
+        figures.put("keys", timesApplied.size());
+        figures.put("applied_twice", appliedTwice);
+        figures.put("second_attempts", concurrentAttempts);
+        figures.put("fallen", collapses);
+        return figures;
     }
 }
--- a/src/test/java/crankwick/app/FailoverIT.java
+++ b/src/test/java/crankwick/app/FailoverIT.java
@@ -80,9 +80,9 @@
             Thread reader = Deployment.read(proxy, log);
             try {
                 int port = Deployment.portOf(log, 0);
-                emulation.trouble(CHANGES, SECONDS * 1_000_000L / (CHANGES + 1));
+                emulation.scheduleFaults(CHANGES, SECONDS * 1_000_000L / (CHANGES + 1));
                 List<Done> done = load(wire, port);
-                judge(done, emulation.ledger());
+                judge(done, emulation.executionLog());
             } finally {
                 proxy.toHandle().destroy();
                 proxy.waitFor();
@@ -111,8 +111,8 @@
                     sockets.add(connect(wire, port));
                     assertEquals(ask(wire, sockets.get(i), WRITES * i).kind(), "SERVED");
                 }
-                emulation.trouble(1, 1);
-                while (emulation.ledger().vacancies().isEmpty()) {
+                emulation.scheduleFaults(1, 1);
+                while (emulation.executionLog().leaderlessPeriods().isEmpty()) {
                     Thread.sleep(5);
                 }
                 for (int i = 0; i < HELD; i++) {
@@ -129,7 +129,7 @@
                     clients.add(client);
                     Thread.sleep(20);
                 }
-                assertTrue(isChanging(emulation.ledger()), "over before the end of the process");
+                assertTrue(isChanging(emulation.executionLog()), "over before the end of the process");
             } finally {
                 proxy.toHandle().destroy();
             }
@@ -139,8 +139,9 @@
             assertTrue(proxy.waitFor(10, TimeUnit.SECONDS));
             assertEquals(done.size(), HELD);
             assertTrue(
-                    emulation.ledger().isSound(), emulation.ledger().figures().toString());
-            done.forEach(d -> assertToldAsItWent(d, emulation.ledger().timesApplied(d.key())));
+                    emulation.executionLog().isSound(),
+                    emulation.executionLog().figures().toString());
+            done.forEach(d -> assertToldAsItWent(d, emulation.executionLog().timesApplied(d.key())));
             assertTrue(log.stream().anyMatch(line -> line.contains("handover: changes=")), log.toString());
         }
     }
@@ -252,7 +253,7 @@
         }
         Thread.sleep(500);
         Map<String, Object> figures = ledger.figures();
-        String said = figures + " " + ledger.vacancies();
+        String said = figures + " " + ledger.leaderlessPeriods();
         assertEquals(done.size(), SECONDS * RATE);
         assertTrue(ledger.changes() >= 1, said);
         assertEquals(figures.get("applied_twice"), 0L, said);
@@ -271,10 +272,10 @@
                 assertTrue(
                         d.kind().equals("SERVED") ? times == 1 : d.kind().equals("REFUSED") ? times == 0 : times <= 1,
                         times + " times: " + d + said);
-                ExecutionLog.Vacancy met = reachable(d, ledger.vacancies());
+                ExecutionLog.LeaderlessPeriod met = reachable(d, ledger.leaderlessPeriods());
                 if (met != null) {
-                    reachable[met.cold() ? 1 : 0]++;
-                    reached[met.cold() ? 1 : 0] += d.kind().equals("SERVED") ? 1 : 0;
+                    reachable[met.warmingUp() ? 1 : 0]++;
+                    reached[met.warmingUp() ? 1 : 0] += d.kind().equals("SERVED") ? 1 : 0;
                 }
             }
         }
@@ -285,13 +286,13 @@
     }
 
     private static boolean isChanging(ExecutionLog ledger) {
-        return ledger.vacancies().stream().anyMatch(v -> v.until() == Long.MAX_VALUE);
+        return ledger.leaderlessPeriods().stream().anyMatch(v -> v.until() == Long.MAX_VALUE);
     }
 
     /** The change that it met, if its deadline lies past the end and its key's window allows it; or null. */
-    private static ExecutionLog.Vacancy reachable(Done d, List<ExecutionLog.Vacancy> vacancies) {
-        ExecutionLog.Vacancy met = null;
-        for (ExecutionLog.Vacancy v : vacancies) {
+    private static ExecutionLog.LeaderlessPeriod reachable(Done d, List<ExecutionLog.LeaderlessPeriod> vacancies) {
+        ExecutionLog.LeaderlessPeriod met = null;
+        for (ExecutionLog.LeaderlessPeriod v : vacancies) {
             if (v.group() == d.group() && v.from() < d.askedAt() + DEADLINE && v.until() > d.askedAt()) {
                 boolean inFlight = d.askedAt() < v.from() && d.askedAt() + KEY_TTL < v.until() + MARGIN;
                 if (met != null
