--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -3,6 +3,7 @@
 import crankwick.broker.Broker;
 import crankwick.broker.Contract;
 import crankwick.client.ClientListener;
+import crankwick.client.ClientSettings;
 import crankwick.database.DatabasePool;
 import crankwick.database.PoolSettings;
 import crankwick.discovery.Discovery;
@@ -78,8 +79,12 @@
         broker = new Broker(settings.routingSettings(), seed, contracts, changes);
         runner = new EffectRunner(broker, loop, clock);
         front = new ClientListener(
-                runner, loop, clock, settings.routingSettings(), settings.classNames(), contracts::containsKey, (int)
-                        (sockets * CLIENT_SHARE));
+                runner,
+                loop,
+                clock,
+                wire.front(),
+                new ClientSettings(settings.routingSettings(), settings.classNames(), contracts::containsKey, (int)
+                        (sockets * CLIENT_SHARE)));
     }
 
     /** Listens, and is ready once a list that names a database is known. */
@@ -105,7 +110,7 @@
             discovery.start();
             loop.after(COUNTERS_EVERY, this::logCounters);
         });
-        front.listen(transport, listen, wire.front());
+        front.listen(transport, listen);
     }
 
     /** News of the list, on the loop. */
--- a/src/main/java/crankwick/client/ClientCommand.java
+++ b/src/main/java/crankwick/client/ClientCommand.java
@@ -3,33 +3,38 @@
 import crankwick.statement.Statement;
 
 /**
- * A command's place among the answers of its connection. The loop owns it; the thread that writes to
- * databases asks it only whether its client still waits.
+ * A command's place among the replies of its session. The event loop owns it; the thread that writes to databases
+ * uses only its public methods.
  */
 public final class ClientCommand {
     final ClientSession session;
-    /** The broker's number for the request. */
-    final long ref;
-    /** Null where the command is no request. */
-    final Statement statement;
-    /** What the client sent; null for what the front itself has to say. */
+    /** The broker's id for the request. */
+    final long requestId;
+    /** What the client sent; null for what the listener itself has to say. */
     final ClientMessage message;
-    /** When it was read, in microseconds of Unix time. */
-    final long readAt;
-    /** The answer; null until there is one. */
+    /** Null until there is one. */
     ClientReply reply;
-    /** How many commands in a row have this place and each this answer. */
-    long times = 1;
-    /** Which message of its connection it was, counted from 1; 0 for what the front itself has to say. */
-    private final long number;
+    /** How many commands in a row have this place, and each this reply. */
+    long repeatCount = 1;
+
+    private final Statement statement;
+    /** Which message of its connection it was, counted from 1; 0 for what the listener itself has to say. */
+    private final long messageNumber;
+
+    private final long readAt;
 
     ClientCommand(
-            ClientSession session, long ref, Statement statement, ClientMessage message, long number, long readAt) {
+            ClientSession session,
+            long requestId,
+            Statement statement,
+            ClientMessage message,
+            long messageNumber,
+            long readAt) {
         this.session = session;
-        this.ref = ref;
+        this.requestId = requestId;
         this.statement = statement;
         this.message = message;
-        this.number = number;
+        this.messageNumber = messageNumber;
         this.readAt = readAt;
     }
 
@@ -45,6 +50,6 @@
 
     /** True once the client has closed its connection or cancelled the command; on any thread. */
     public boolean isAbandoned() {
-        return session.isAbandoned(number);
+        return session.isAbandoned(messageNumber);
     }
 }
--- a/src/main/java/crankwick/client/ClientCounters.java
+++ b/src/main/java/crankwick/client/ClientCounters.java
@@ -2,37 +2,57 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What a front has counted of its client connections since its start; safe on any thread. */
+/** Counters of a listener's client connections since its start; safe on any thread. */
 final class ClientCounters {
-    final AtomicLong accepted = new AtomicLong();
-    /** Told that there are too many connections. */
-    final AtomicLong turnedAway = new AtomicLong();
-    /** Connections that ended with commands not answered. */
-    final AtomicLong closedWhileOwed = new AtomicLong();
+    private final AtomicLong accepted = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
+    private final AtomicLong closedUnanswered = new AtomicLong();
+    private final AtomicLong droppedReplies = new AtomicLong();
+    private final AtomicLong protocolErrors = new AtomicLong();
+    private final AtomicLong overLimitCommands = new AtomicLong();
+    private final AtomicLong readPauses = new AtomicLong();
+    private final AtomicLong maxReadPauseMillis = new AtomicLong();
 
-    /** Answers to reads for which there was no room. */
-    final AtomicLong droppedAnswers = new AtomicLong();
+    void countAccepted() {
+        accepted.incrementAndGet();
+    }
 
-    final AtomicLong protocolErrors = new AtomicLong();
-    /** Commands beyond what a client may have open, refused in their places. */
-    final AtomicLong excessCommands = new AtomicLong();
-    /** How often reading from a client was paused, and for how long at most. */
-    final AtomicLong readPauses = new AtomicLong();
+    /** A client was told that there are too many connections. */
+    void countRejected() {
+        rejected.incrementAndGet();
+    }
 
-    final AtomicLong longestReadPauseMs = new AtomicLong();
+    /** A connection ended with commands not answered. */
+    void countClosedUnanswered() {
+        closedUnanswered.incrementAndGet();
+    }
+
+    /** There was no memory for a read's reply. */
+    void countDroppedReply() {
+        droppedReplies.incrementAndGet();
+    }
+
+    void countProtocolError() {
+        protocolErrors.incrementAndGet();
+    }
+
+    /** A command is beyond what a client may have open, and rejected in its place. */
+    void countOverLimitCommand() {
+        overLimitCommands.incrementAndGet();
+    }
 
+    /** Reading from a client was paused for so long. */
     void countReadPause(long millis) {
         readPauses.incrementAndGet();
-        longestReadPauseMs.accumulateAndGet(millis, Math::max);
+        maxReadPauseMillis.accumulateAndGet(millis, Math::max);
     }
 
     /** For the line of counters. */
     @Override
     public String toString() {
-        return "accepted=" + accepted + " turned_away=" + turnedAway + " closed_while_owed=" + closedWhileOwed
-                + " protocol_errors=" + protocolErrors + " excess_commands=" + excessCommands
-                + " dropped_answers=" + droppedAnswers + " read_pauses="
-                + readPauses + " longest_read_pause_ms="
-                + longestReadPauseMs;
+        return "accepted=" + accepted + " rejected_connections=" + rejected + " closed_unanswered=" + closedUnanswered
+                + " protocol_errors=" + protocolErrors + " over_limit_commands=" + overLimitCommands
+                + " dropped_replies=" + droppedReplies + " read_pauses=" + readPauses + " max_read_pause_ms="
+                + maxReadPauseMillis;
     }
 }
--- a/src/main/java/crankwick/client/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -13,65 +13,63 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One client connection. Its plain fields belong to the loop; what the thread that reads from it shares with
- * the loop is reached through synchronized methods.
+ * One client connection. Its plain fields belong to the event loop; what the selector thread shares with the loop is
+ * reached through synchronized methods.
  *
  * <p>However much a client has open, reading from it goes on: only reading tells that it has closed or
- * cancelled. What it sends beyond the limits is taken in as {@link FrontMessage.Excess}, without its text.
+ * cancelled. What it sends beyond the limits is taken in as {@link ClientMessage.Excess}, without its text.
  */
 final class ClientSession {
     private static final Logger LOG = LoggerFactory.getLogger(ClientSession.class);
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** A pause that hides a client's close for longer than this is worth a line. */
-    private static final long LONG_PAUSE_MS = 50;
+    /** A pause is logged that keeps a client's close unread for longer than this. */
+    private static final long LONG_READ_PAUSE_MILLIS = 50;
 
-    /** What a client may have open: so many commands, and so many bytes of their statements. */
     private static final int MAX_OPEN_COMMANDS = 1_024;
-
-    private static final long MAX_OPEN_BYTES = 1 << 20;
-    /** Reading pauses, until the loop has caught up, at so many messages that it has not taken up. */
-    private static final int MAX_UNTAKEN_MESSAGES = 4_096;
-    /** Answers wait in their places while so many bytes of earlier ones are not written. */
+    private static final long MAX_OPEN_STATEMENT_BYTES = 1 << 20;
+    /** Reading pauses, until the loop has caught up, at so many messages that it has not processed. */
+    private static final int MAX_UNDELIVERED_MESSAGES = 4_096;
+    /** Replies wait in their places while so many bytes of earlier ones are not written. */
     private static final long MAX_UNWRITTEN_BYTES = 256 * 1_024;
 
     final Connection<SocketAddress> connection;
-    /** Commands in the order in which their answers go out. */
+    /** Commands in the order in which their replies go out. */
     final Deque<ClientCommand> commands = new ArrayDeque<>();
 
     String team;
     /** Whether a command has ever come in. */
-    boolean asked;
-    /** No command is taken any more: the connection ends behind the answers that are owed. */
+    boolean hasSentCommand;
+    /** No further command is accepted: the connection ends behind the replies to earlier ones. */
     boolean ending;
     /** The connection is to be closed unless a command has just been read from it. */
     boolean closeRequested;
 
-    long idleSince;
-    /** When a connection that has had its last words is cut; 0 before. */
-    long cutAt;
+    long idleSinceMicros;
+    /** When the connection is terminated after its last reply; 0 before that. */
+    long lingerUntilMicros;
 
-    private long messagesTaken;
+    private long messagesDelivered;
 
-    private final ByteBudget statements;
-    private final ByteBudget answers;
+    private final ByteBudget statementBudget;
+    private final ByteBudget replyBudget;
     private final ClientCounters counters;
-    /** Messages that are not answered yet, and those of them that are kept with their text. */
+    /** Messages that are not answered yet, and those of them that are held with their text. */
     private long unanswered;
 
-    private int open;
-    private long openBytes;
-    /** Of answers that are not written yet. */
-    private long answerBytes;
+    private int openCommands;
+    private long openStatementBytes;
+    /** Values of replies that are not written yet. */
+    private long replyBytes;
 
-    private int untaken;
-    private boolean paused;
-    private long pausedAtNanos;
+    private int undelivered;
+    private boolean readPaused;
+    private long readPausedAtNanos;
     private boolean readingStopped;
-    private int unwritten;
+    private int unwrittenReplies;
     private long unwrittenBytes;
-    private long unwrittenSince;
-    /** Answers that are ready wait for room. */
-    private boolean writesWait;
+    private long unwrittenSinceMicros;
+    /** Replies that are ready wait until earlier ones are written. */
+    private boolean writeBlocked;
 
     private long messagesRead;
     /** Messages up to this one are cancelled. */
@@ -80,16 +78,19 @@
     private boolean closed;
 
     ClientSession(
-            Connection<SocketAddress> connection, ByteBudget statements, ByteBudget answers, ClientCounters counters) {
+            Connection<SocketAddress> connection,
+            ByteBudget statementBudget,
+            ByteBudget replyBudget,
+            ClientCounters counters) {
         this.connection = connection;
-        this.statements = statements;
-        this.answers = answers;
+        this.statementBudget = statementBudget;
+        this.replyBudget = replyBudget;
         this.counters = counters;
     }
 
     /**
      * Messages have been read; they are returned as they are to be handed to the loop, those beyond the limits
-     * without their text. On the thread that reads.
+     * without their text. On the selector thread.
      */
     synchronized List<ClientMessage> read(List<ClientMessage> messages) {
         List<ClientMessage> admitted = new ArrayList<>(messages.size());
@@ -101,10 +102,10 @@
             admitted.add(admit(message));
         }
         unanswered += messages.size();
-        untaken += messages.size();
-        if (!paused && untaken >= MAX_UNTAKEN_MESSAGES) {
-            paused = true;
-            pausedAtNanos = System.nanoTime();
+        undelivered += messages.size();
+        if (!readPaused && undelivered >= MAX_UNDELIVERED_MESSAGES) {
+            readPaused = true;
+            readPausedAtNanos = System.nanoTime();
             toggleReading(false);
         }
         return admitted;
@@ -115,77 +116,79 @@
             return message;
         }
         int bytes = message.bytes();
-        boolean fits = open < MAX_OPEN_COMMANDS && openBytes + bytes <= MAX_OPEN_BYTES && statements.reserve(bytes);
+        boolean fits = openCommands < MAX_OPEN_COMMANDS
+                && openStatementBytes + bytes <= MAX_OPEN_STATEMENT_BYTES
+                && statementBudget.reserve(bytes);
         if (!fits) {
-            counters.excessCommands.incrementAndGet();
+            counters.countOverLimitCommand();
             return new ClientMessage.Excess();
         }
-        open++;
-        openBytes += bytes;
+        openCommands++;
+        openStatementBytes += bytes;
         return message;
     }
 
-    /** The loop takes a message up: its number. */
+    /** The loop processes a message; returns its number. */
     synchronized long nextMessage() {
-        untaken--;
-        if (paused && untaken <= MAX_UNTAKEN_MESSAGES / 2) {
-            paused = false;
-            noteResumed();
+        undelivered--;
+        if (readPaused && undelivered <= MAX_UNDELIVERED_MESSAGES / 2) {
+            readPaused = false;
+            onReadResumed();
             toggleReading(!readingStopped);
         }
-        return ++messagesTaken;
+        return ++messagesDelivered;
     }
 
-    /** So many messages in a row like this one have their answers written, or none is owed. */
-    synchronized void settled(ClientMessage message, long times) {
+    /** So many messages in a row like this one have their replies written, or are owed none. */
+    synchronized void onAnswered(ClientMessage message, long times) {
         unanswered -= times;
         if (message instanceof ClientMessage.Query || message instanceof ClientMessage.Empty) {
-            open--;
+            openCommands--;
             release(message.bytes());
         }
     }
 
     private void release(long bytes) {
         // Guards against giving back twice what the end of the connection has given back.
-        long held = Math.min(bytes, openBytes);
-        openBytes -= held;
-        statements.release(held);
+        long reserved = Math.min(bytes, openStatementBytes);
+        openStatementBytes -= reserved;
+        statementBudget.release(reserved);
     }
 
-    /** Takes an answer's bytes into account, until {@link #releaseAnswer}; false if they are too many. */
-    synchronized boolean holdAnswer(long bytes) {
+    /** Takes a reply's bytes into account, until {@link #releaseReply}; false if they are too many. */
+    synchronized boolean reserveReply(long bytes) {
         if (closed) {
             return true;
         }
-        boolean fits = answerBytes + bytes <= answers.maxOfOne() && answers.reserve(bytes);
-        answerBytes += fits ? bytes : 0;
+        boolean fits = replyBytes + bytes <= replyBudget.maxOfOne() && replyBudget.reserve(bytes);
+        replyBytes += fits ? bytes : 0;
         return fits;
     }
 
-    /** The same for an answer that can't be withheld. */
-    synchronized void holdAnswerAnyway(long bytes) {
+    /** The same for a reply that must not be dropped. */
+    synchronized void forceReserveReply(long bytes) {
         if (!closed) {
-            answers.force(bytes);
-            answerBytes += bytes;
+            replyBudget.force(bytes);
+            replyBytes += bytes;
         }
     }
 
-    /** An answer is written, or nobody wants it any more. */
-    synchronized void releaseAnswer(long bytes) {
-        long held = Math.min(bytes, answerBytes);
-        answerBytes -= held;
-        answers.release(held);
+    /** A reply is written, or no longer wanted. */
+    synchronized void releaseReply(long bytes) {
+        long reserved = Math.min(bytes, replyBytes);
+        replyBytes -= reserved;
+        replyBudget.release(reserved);
     }
 
-    private void noteResumed() {
-        long millis = (System.nanoTime() - pausedAtNanos) / NANOS_PER_MILLI;
+    private void onReadResumed() {
+        long millis = (System.nanoTime() - readPausedAtNanos) / NANOS_PER_MILLI;
         counters.countReadPause(millis);
-        if (millis > LONG_PAUSE_MS) {
+        if (millis > LONG_READ_PAUSE_MILLIS) {
             LOG.info("client {}: reading was paused for {} ms", connection.getPeerAddress(), millis);
         }
     }
 
-    /** Reads nothing more; what has been read is answered. */
+    /** Reads nothing more; commands that have been read are answered. */
     synchronized void stopReading() {
         readingStopped = true;
         toggleReading(false);
@@ -195,30 +198,30 @@
         Transport.toggle(connection, IOEvent.READ, wanted);
     }
 
-    /** The client has closed its connection, or it has been ended. On the thread that reads. */
+    /** The client has closed its connection, or it has been ended. On the selector thread. */
     synchronized void closed() {
         closed = true;
-        release(openBytes);
-        releaseAnswer(answerBytes);
+        release(openStatementBytes);
+        releaseReply(replyBytes);
     }
 
     synchronized boolean isAbandoned(long message) {
         return closed || message > 0 && message <= cancelledTo;
     }
 
-    /** True if something has been read that is not answered yet. */
-    synchronized boolean isOwedAnAnswer() {
+    /** True if a message has been read that is not answered yet. */
+    synchronized boolean isOwedReply() {
         return unanswered > 0;
     }
 
     /**
-     * Closes the connection on the thread that reads from it, once what has arrived is read, so that nothing can
+     * Closes the connection on the selector thread, once what has arrived is read, so that nothing can
      * be read in between. It stays where a command has been read but not answered, or a part of one has come in:
      * {@code whenBusy}.
      */
     void closeUnlessBusy(CodecFilter codec, Runnable whenBusy) {
         Transport.afterReading(connection, () -> {
-            if (isOwedAnAnswer() || !isReadingStopped() && codec.hasPartOfAValue(connection)) {
+            if (isOwedReply() || !isReadingStopped() && codec.hasPartOfAValue(connection)) {
                 whenBusy.run();
             } else {
                 connection.terminateSilently();
@@ -230,41 +233,56 @@
         return readingStopped;
     }
 
-    /** True if another answer may be written now; else {@link #written} tells when there is room. */
+    /** True if another reply may be written now; else {@link #onWritten} tells when it may. */
     synchronized boolean mayWrite() {
-        writesWait = unwrittenBytes >= MAX_UNWRITTEN_BYTES;
-        return !writesWait;
+        writeBlocked = unwrittenBytes >= MAX_UNWRITTEN_BYTES;
+        return !writeBlocked;
     }
 
-    synchronized void writing(long bytes, long now) {
-        unwrittenSince = unwritten++ == 0 ? now : unwrittenSince;
+    synchronized void onWriteQueued(long bytes, long now) {
+        unwrittenSinceMicros = unwrittenReplies++ == 0 ? now : unwrittenSinceMicros;
         unwrittenBytes += bytes;
     }
 
-    /** An answer has been written; true if others have been waiting and now have room. */
-    synchronized boolean written(long bytes, long now) {
-        unwritten--;
+    /** A reply has been written; true if others have been waiting and may now be written. */
+    synchronized boolean onWritten(long bytes, long now) {
+        unwrittenReplies--;
         unwrittenBytes -= bytes;
-        unwrittenSince = now;
-        boolean room = writesWait && unwrittenBytes <= MAX_UNWRITTEN_BYTES / 2;
-        writesWait &= !room;
-        return room;
+        unwrittenSinceMicros = now;
+        boolean unblocked = writeBlocked && unwrittenBytes <= MAX_UNWRITTEN_BYTES / 2;
+        writeBlocked &= !unblocked;
+        return unblocked;
+    }
+
+    synchronized boolean hasUnreadReplySince(long since) {
+        return unwrittenReplies > 0 && unwrittenSinceMicros < since;
     }
 
-    synchronized boolean isUnread(long since) {
-        return unwritten > 0 && unwrittenSince < since;
+    /** True once the last reply has been handed over: the client has some time to read it and to close. */
+    boolean isLingering() {
+        return lingerUntilMicros > 0;
+    }
+
+    /** True if its place may be given to a newcomer. */
+    boolean isEvictable() {
+        return !closeRequested && (isLingering() || isIdle());
     }
 
     boolean isIdle() {
-        return commands.isEmpty() && cutAt == 0;
+        return commands.isEmpty() && !isLingering();
     }
 
-    /** Who is at its end needs its place least, then who has never asked, then the longest idle. */
-    boolean needsLessThan(ClientSession other) {
-        return need() != other.need() ? need() < other.need() : idleSince < other.idleSince;
+    /** Lingering sessions are evicted first, then those that have never sent a command, then the longest idle. */
+    boolean isEvictedBefore(ClientSession other) {
+        return evictionRank() != other.evictionRank()
+                ? evictionRank() < other.evictionRank()
+                : idleSinceMicros < other.idleSinceMicros;
     }
 
-    private int need() {
-        return cutAt > 0 ? 0 : asked ? 2 : 1;
+    private int evictionRank() {
+        if (isLingering()) {
+            return 0;
+        }
+        return hasSentCommand ? 2 : 1;
     }
 }
--- /dev/null
+++ b/src/main/java/crankwick/client/RequestDecoder.java
@@ -0,0 +1,55 @@
+package crankwick.client;
+
+import crankwick.broker.ClientRequest;
+import crankwick.routing.api.Idempotency;
+import crankwick.routing.api.RequestClass;
+import crankwick.statement.Statement;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Decodes a client's statement, and makes the broker's request of it. */
+final class RequestDecoder {
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    private final List<RequestClass> classes;
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+
+    /** {@code names} are those of the classes, in their order. */
+    RequestDecoder(List<RequestClass> classes, List<String> names) {
+        this.classes = classes;
+        for (int i = 0; i < names.size(); i++) {
+            classIndexes.put(names.get(i), i);
+        }
+    }
+
+    /** Reads a statement; throws IllegalArgumentException that says what is wrong with it. */
+    Statement decode(String text) {
+        Statement statement = Statement.parse(text);
+        Integer classIndex = classIndexes.get(statement.className());
+        if (classIndex == null) {
+            throw new IllegalArgumentException("c names no class");
+        }
+        if (classes.get(classIndex).idempotency() == Idempotency.WITH_KEY && statement.idempotencyKey() == null) {
+            throw new IllegalArgumentException("k is missing");
+        }
+        return statement;
+    }
+
+    /** The request of a command whose statement {@link #decode} has read. */
+    ClientRequest request(ClientCommand command, long timeoutMicros) {
+        Statement statement = command.statement();
+        long requiredPosition = statement.requiredPosition() > 0 ? statement.requiredPosition() * MICROS_PER_MILLI : -1;
+        return new ClientRequest(
+                command.requestId,
+                statement.id(),
+                command.session.team,
+                classIndexes.get(statement.className()),
+                statement.groupId(),
+                statement.sessionNumber(),
+                requiredPosition,
+                timeoutMicros,
+                statement.idempotencyKey(),
+                command.message.bytes());
+    }
+}
--- a/src/main/java/crankwick/database/BeginDecision.java
+++ b/src/main/java/crankwick/database/BeginDecision.java
@@ -4,7 +4,7 @@
 enum BeginDecision {
     BEGIN,
     /** The client has closed its connection or cancelled the command. */
-    CLIENT_GONE,
-    /** The deadline, or the window in which databases discard repeats, is over. */
-    TOO_LATE
+    ABANDONED,
+    /** The deadline, or the window in which databases discard duplicates, is over. */
+    EXPIRED
 }
--- a/src/main/java/crankwick/runtime/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -64,15 +64,15 @@
         if (effect instanceof Effect.SendAttempt e) {
             pool.send(e, new ForwardedCommand(front.command(e.requestId())));
         } else if (effect instanceof Effect.SendReply e) {
-            front.answer(e.requestId(), e.reply());
+            front.reply(e.requestId(), e.reply());
         } else if (effect instanceof Effect.CancelAttempt e) {
-            pool.withdraw(e.requestId());
+            pool.cancelAttempt(e.requestId());
         } else if (effect instanceof Effect.CancelQueued e) {
-            pool.recall(e.requestId());
+            pool.cancelQueued(e.requestId());
         } else if (effect instanceof Effect.ScheduleTimer e) {
             loop.after(e.delay(), () -> publish(e.event()));
         } else if (effect instanceof Effect.CheckHealth e) {
-            pool.probe(e.endpointId());
+            pool.checkHealth(e.endpointId());
         } else if (effect instanceof Effect.Log e) {
             LOG.info(e.line());
         }
@@ -84,7 +84,7 @@
         for (Discovery.DiscoveredEndpoint discovered : news.discovered()) {
             addresses.add(new EndpointAddress(discovered.endpoint(), discovered.address()));
         }
-        pool.learn(news.kind(), addresses);
+        pool.updateEndpoints(news.kind(), addresses);
         publish(new BrokerEvent.EndpointsUpdated(news.kind(), news.endpoints()));
     }
 }
--- a/src/main/java/crankwick/transport/Transport.java
+++ b/src/main/java/crankwick/transport/Transport.java
@@ -84,7 +84,7 @@
     }
 
     /** Runs a task on the thread that reads from a connection, after what is under way there. */
-    public static void whereItReads(Connection<?> connection, Runnable task) {
+    public static void onSelectorThread(Connection<?> connection, Runnable task) {
         connection.executeInEventThread(IOEvent.WRITE, task);
     }
 
@@ -94,7 +94,7 @@
      * sockets, but a task that is handed over by a task goes behind it.
      */
     public static void afterReading(Connection<?> connection, Runnable task) {
-        whereItReads(connection, () -> whereItReads(connection, task));
+        onSelectorThread(connection, () -> onSelectorThread(connection, task));
     }
 
     /** True if an open connection has nothing to read; to be asked where it reads. */
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -3,6 +3,7 @@
 import crankwick.broker.Broker;
 import crankwick.broker.Contract;
 import crankwick.client.ClientListener;
+import crankwick.client.ClientSettings;
 import crankwick.database.DatabasePool;
 import crankwick.database.PoolSettings;
 import crankwick.discovery.Discovery;
@@ -58,7 +59,8 @@
         RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 6_000 * MS, connectTimeout, true);
         broker = new Broker(settings, 1, Map.of("", Contract.UNLIMITED), null);
         EffectRunner runner = new EffectRunner(broker, loop, clock);
-        front = new ClientListener(runner, loop, clock, settings, List.of("write"), ""::equals, maxSessions);
+        front = new ClientListener(
+                runner, loop, clock, wire, new ClientSettings(settings, List.of("write"), ""::equals, maxSessions));
         runner.attach(
                 front,
                 new DatabasePool(
@@ -76,7 +78,7 @@
                     EndpointUpdateKind.FULL, List.of(new Discovery.DiscoveredEndpoint(member, address))));
             front.ready();
         });
-        front.listen(transport, new InetSocketAddress("127.0.0.1", 0), wire);
+        front.listen(transport, new InetSocketAddress("127.0.0.1", 0));
     }
 
     /** The loop stands still from where this is in its queue; what arrives later waits its turn. */
