--- a/src/test/java/crankwick/app/ClientDisconnectIT.java
+++ b/src/test/java/crankwick/app/ClientDisconnectIT.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -19,6 +20,7 @@
     private static final int MANY = 1_100;
     private static final int ATTEMPT_MS = 300;
     private static final int LEAVES_AFTER_MS = 100;
+    private static final long ATTEMPT_ARRIVES_WITHIN_MS = 2_000;
     private static final int WATCHED_MS = 800;
 
     /** What a client has sent when it leaves: one keyed write first, then what this names. */
@@ -61,6 +63,7 @@
             d.databases.forEach(database -> database.word = "BREAK");
             String write = send(leaver, sent);
             Thread.sleep(LEAVES_AFTER_MS);
+            awaitAttempt(d, write);
             leave(wire, leaver, way);
             Thread.sleep(WATCHED_MS);
             assertEquals(d.ledger.sent(write), 1, d.log.toString());
@@ -68,6 +71,14 @@
         }
     }
 
+    /** On a busy machine the attempt may take longer to arrive; a client that left before would have none. */
+    private static void awaitAttempt(Deployment d, String write) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ATTEMPT_ARRIVES_WITHIN_MS);
+        while (d.ledger.sent(write) == 0 && System.nanoTime() < deadline) {
+            Thread.sleep(1);
+        }
+    }
+
     /** Sends the write and what goes with it; the write's id. */
     private String send(Deployment.Client client, Sent sent) throws IOException {
         String padding = sent == Sent.LARGE_WRITE ? "x".repeat(LARGE) : "";
