--- a/src/test/java/crankwick/PackageOrderTest.java
+++ b/src/test/java/crankwick/PackageOrderTest.java
@@ -31,6 +31,11 @@
                     "runtime",
                     List.of("client", "database", "discovery", "transport", "broker", "routing.api", "statement")),
             Map.entry("model", List.of("routing.api")),
+            Map.entry("pg", List.of("broker", "client", "database", "routing.api", "transport")),
+            Map.entry("tds", List.of("broker", "client", "database", "routing.api", "transport")),
+            Map.entry("discovery", List.of("routing.api", "transport")),
+            Map.entry("emulator", List.of("client", "database", "model", "routing.api", "statement", "transport")),
+            Map.entry("simulation", List.of("broker", "discovery", "failover", "model", "routing.api")),
             Map.entry("simulator", List.of("routing", "routing.api", "settings")));
 
     /** Packages that decide: (event, now) in, actions out. */
