--- a/src/main/java/crankwick/transport/EventLoop.java
+++ b/src/main/java/crankwick/transport/EventLoop.java
@@ -1,23 +1,33 @@
 package crankwick.transport;
 
 import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread on which state changes: what is handed over runs in turn, and timers fall due on it. */
+/**
+ * The one thread on which state changes: tasks run in the order in which they are handed over, and timers fall due
+ * on it.
+ *
+ * <p>{@link #close} is the end of it. A task handed over later is dropped, here and without an error: sockets go on
+ * reporting until the transport is closed too, and by then nobody is left to hear of it.
+ */
 public final class EventLoop implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-
-    private static final long WORTH_A_WORD = 30_000_000;
-    private static final long WORD_EVERY = 1_000_000_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    /** A timer that is later than this counts as late. */
+    private static final long LAG_LOG_THRESHOLD_NANOS = 30 * NANOS_PER_MILLI;
+    /** Logging each late timer would add to the lag. */
+    private static final long LAG_LOG_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
     private final ScheduledThreadPoolExecutor executor;
-    /** Since the last word about lateness: the worst, and how many timers were; and when that word was. */
-    private long worstLag;
+    /** Both since lag was last logged, at {@link #lagLoggedAtNanos}. */
+    private long maxLagNanos;
 
     private int lateTimers;
-    private long wordAt = System.nanoTime() - WORD_EVERY;
+    private long lagLoggedAtNanos = System.nanoTime() - LAG_LOG_INTERVAL_NANOS;
 
     /** Starts the thread. */
     public EventLoop(String name) {
@@ -28,6 +38,7 @@
         });
         executor.setRemoveOnCancelPolicy(true);
         executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
     }
 
     /** Runs a task on the loop, after those handed over before. */
@@ -37,7 +48,7 @@
 
     /** Runs a task on the loop after so many microseconds. */
     public Timer after(long micros, Runnable task) {
-        long due = System.nanoTime() + micros * 1_000;
+        long due = System.nanoTime() + micros * NANOS_PER_MICRO;
         var future = executor.schedule(
                 guarded(() -> {
                     long now = System.nanoTime();
@@ -49,27 +60,26 @@
         return () -> future.cancel(false);
     }
 
-    /** Late timers eat into the slack that answers have at their deadline; a word for each adds to that. */
-    private void noteLag(long nanos, long now) {
-        if (nanos > WORTH_A_WORD) {
+    private void noteLag(long lagNanos, long now) {
+        if (lagNanos > LAG_LOG_THRESHOLD_NANOS) {
             lateTimers++;
-            worstLag = Math.max(worstLag, nanos);
+            maxLagNanos = Math.max(maxLagNanos, lagNanos);
         }
-        if (lateTimers > 0 && now - wordAt >= WORD_EVERY) {
-            LOG.warn("the loop is up to {} ms late, {} timers since the last word", worstLag / 1_000_000, lateTimers);
+        if (lateTimers > 0 && now - lagLoggedAtNanos >= LAG_LOG_INTERVAL_NANOS) {
+            LOG.warn("event loop up to {} ms late, {} late timers", maxLagNanos / NANOS_PER_MILLI, lateTimers);
             lateTimers = 0;
-            worstLag = 0;
-            wordAt = now;
+            maxLagNanos = 0;
+            lagLoggedAtNanos = now;
         }
     }
 
-    /** A fault in one task must not stop the loop: every other request still needs its answer. */
+    /** A fault in one task must not stop the loop: every other request still needs its reply. */
     private static Runnable guarded(Runnable task) {
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
-                LOG.error("a task failed", e);
+                LOG.error("event loop task failed", e);
             }
         };
     }
@@ -81,7 +91,7 @@
 
     /** A task that has not run yet. */
     public interface Timer {
-        /** Forgets the task, unless it has begun. */
+        /** Drops the task, unless it has begun. */
         void cancel();
     }
 }
