--- a/src/test/java/crankwick/app/OnBothWires.java
+++ b/src/test/java/crankwick/app/OnBothWires.java
@@ -31,6 +31,6 @@
 
     static void kept(Deployment d) {
         assertEquals(d.ledger.broken, List.of());
-        assertEquals(d.errors(), List.of());
+        assertEquals(d.errors(), List.of(), d.log.toString());
     }
 }
