--- a/src/main/java/crankwick/settings/SettingsCodec.java
+++ b/src/main/java/crankwick/settings/SettingsCodec.java
@@ -2,9 +2,6 @@
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParseException;
-import com.google.gson.JsonParser;
 import crankwick.routing.api.ConsistencyLevel;
 import crankwick.routing.api.CostWeights;
 import crankwick.routing.api.DeduplicationScope;
@@ -15,15 +12,13 @@
 import crankwick.routing.api.RoutingRules;
 import crankwick.routing.api.RoutingSettings;
 import crankwick.routing.api.StaleReadPolicy;
-import java.math.BigDecimal;
-import java.math.RoundingMode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** Translates the wire's settings; values that are not named there are ignored. */
+/** Maps the keys and words of the platform's settings to the routing module's terms; unknown keys are ignored. */
 public final class SettingsCodec {
-    private static final Map<String, ConsistencyLevel> NEEDS = Map.of(
+    private static final Map<String, ConsistencyLevel> CONSISTENCY_LEVELS = Map.of(
             "write",
             ConsistencyLevel.WRITE,
             "fresh",
@@ -34,64 +29,55 @@
             ConsistencyLevel.BOUNDED_STALENESS,
             "any",
             ConsistencyLevel.EVENTUAL);
-    private static final Map<String, Idempotency> REPEATS =
+    private static final Map<String, Idempotency> IDEMPOTENCIES =
             Map.of("safe", Idempotency.IDEMPOTENT, "keyed", Idempotency.WITH_KEY, "unsafe", Idempotency.NON_IDEMPOTENT);
-    private static final Map<String, DeduplicationScope> SCOPES =
+    private static final Map<String, DeduplicationScope> DEDUPLICATION_SCOPES =
             Map.of("all", DeduplicationScope.FLEET, "zone", DeduplicationScope.ZONE, "cell", DeduplicationScope.GROUP);
-    private static final Map<String, StaleReadPolicy> BEHIND =
+    private static final Map<String, StaleReadPolicy> STALE_READ_POLICIES =
             Map.of("off", StaleReadPolicy.SERVE, "refuse", StaleReadPolicy.REJECT, "wait", StaleReadPolicy.WAIT);
-    private static final Map<String, RoleVisibility> LIST_ROLES =
+    private static final Map<String, RoleVisibility> ROLE_VISIBILITIES =
             Map.of("off", RoleVisibility.HIDDEN, "start", RoleVisibility.AT_START, "late", RoleVisibility.DELAYED);
 
-    private final RoutingSettings settings;
-    private final long timeOrigin;
+    private final SettingsObject root;
+    private final RoutingSettings routingSettings;
+    private final long timeOriginMicros;
     private final List<String> reportFields;
 
-    private final JsonObject root;
-
     /** Reads the settings; throws IllegalArgumentException naming the one at fault. */
     public SettingsCodec(String json) {
-        try {
-            root = JsonParser.parseString(json).getAsJsonObject();
-        } catch (JsonParseException | IllegalStateException e) {
-            throw new IllegalArgumentException("unusable setting: config is not a JSON object", e);
-        }
-        JsonObject family = object("family-info");
-        timeOrigin = micros(family, "family-info.counted-from-ms");
+        root = SettingsObject.parse(json);
+        SettingsObject family = root.object("family-info");
+        timeOriginMicros = family.micros("counted-from-ms");
         reportFields = readReportFields();
-        settings = new RoutingSettings(
-                (int) number(root, "balancers"),
-                (int) number(root, "my-zone"),
-                "ask".equals(word(root, "discovery")),
-                flag(family, "family-info.stamps"),
-                "carried".equals(word(family, "family-info.session-marks")),
-                choice(BEHIND, family, "family-info.when-behind"),
-                choice(LIST_ROLES, family, "family-info.shows-role"),
-                rules(object("rules")),
-                limits(object("bounds")),
-                prices(object("charges")),
-                classes(family));
+        routingSettings = new RoutingSettings(
+                root.integer("balancers"),
+                root.integer("my-zone"),
+                "ask".equals(root.text("discovery")),
+                family.flag("stamps"),
+                "carried".equals(family.text("session-marks")),
+                family.choice(STALE_READ_POLICIES, "when-behind"),
+                family.choice(ROLE_VISIBILITIES, "shows-role"),
+                rules(root.object("rules")),
+                limits(root.object("bounds")),
+                costs(root.object("charges")),
+                requestClasses(family));
     }
 
     private List<String> readReportFields() {
-        if (!root.has("report") || !object("report").has("fields")) {
+        if (!root.has("report") || !root.object("report").has("fields")) {
             return List.of();
         }
-        List<String> fields = new ArrayList<>();
-        for (JsonElement field : array(object("report"), "report.fields")) {
-            fields.add(text(field, "report.fields"));
-        }
-        return List.copyOf(fields);
+        return List.copyOf(texts(root.object("report").array("fields"), "report.fields"));
     }
 
     /** The settings in the routing module's terms. */
     public RoutingSettings routingSettings() {
-        return settings;
+        return routingSettings;
     }
 
     /** The time from which positions are counted, in microseconds of Unix time. */
     public long timeOrigin() {
-        return timeOrigin;
+        return timeOriginMicros;
     }
 
     /** The names of a load report's fields, in the order of its figures. */
@@ -99,160 +85,81 @@
         return reportFields;
     }
 
-    /** The classes' names, in order; only a real proxy needs them. */
+    /** The request classes' names, in order; only a real proxy needs them. */
     public List<String> classNames() {
         List<String> names = new ArrayList<>();
-        for (JsonElement c : array(root, "classes")) {
-            names.add(word(c.getAsJsonObject(), "classes[" + names.size() + "].name"));
+        for (JsonElement requestClass : root.array("classes")) {
+            names.add(SettingsObject.object(requestClass, "classes[" + names.size() + "]")
+                    .text("name"));
         }
         return names;
     }
 
     /** The zones' names, in order; only a real proxy needs them. */
     public List<String> zoneNames() {
-        List<String> names = new ArrayList<>();
-        for (JsonElement zone : array(root, "failure-domains")) {
-            names.add(text(zone, "failure-domains"));
-        }
-        return names;
+        return texts(root.array("failure-domains"), "failure-domains");
     }
 
-    /** How long a connection may be idle before a database ends it; only a real proxy needs it. */
+    /** How long a connection may be idle before a database ends it, in microseconds; only a real proxy needs it. */
     public long connIdle() {
-        return micros(object("bounds"), "bounds.conn-idle-ms");
+        return root.object("bounds").micros("conn-idle-ms");
     }
 
-    private List<RequestClass> classes(JsonObject family) {
-        JsonArray needs = array(family, "family-info.freshness");
-        JsonArray bounds = array(family, "family-info.oldest-data-ms");
-        JsonArray all = array(root, "classes");
-        if (needs.size() != all.size() || bounds.size() != all.size()) {
-            throw unusable("family-info.freshness");
+    private List<RequestClass> requestClasses(SettingsObject family) {
+        JsonArray consistencyLevels = family.array("freshness");
+        JsonArray stalenessBounds = family.array("oldest-data-ms");
+        JsonArray classes = root.array("classes");
+        if (consistencyLevels.size() != classes.size() || stalenessBounds.size() != classes.size()) {
+            throw SettingsObject.unusable("family-info.freshness", null);
         }
-        List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < all.size(); i++) {
-            if (!all.get(i).isJsonObject()) {
-                throw unusable("classes[" + i + "]");
-            }
-            JsonObject c = all.get(i).getAsJsonObject();
-            ConsistencyLevel need = NEEDS.get(text(needs.get(i), "family-info.freshness[" + i + "]"));
-            if (need == null) {
-                throw unusable("family-info.freshness[" + i + "]");
-            }
-            String at = "classes[" + i + "].";
-            long bound = micros(bounds.get(i), "family-info.oldest-data-ms[" + i + "]");
-            classes.add(new RequestClass(
-                    need,
-                    bound,
-                    choice(REPEATS, c, at + "repeat"),
-                    choice(SCOPES, c, at + "dedup-scope"),
-                    micros(c, at + "key-ttl-ms"),
-                    micros(c, at + "slo-ms"),
-                    micros(c, at + "deadline-ms"),
-                    number(c, at + "worth"),
-                    number(c, at + "late-value")));
+        List<RequestClass> requestClasses = new ArrayList<>();
+        for (int i = 0; i < classes.size(); i++) {
+            SettingsObject requestClass = SettingsObject.object(classes.get(i), "classes[" + i + "]");
+            requestClasses.add(new RequestClass(
+                    SettingsObject.choice(
+                            CONSISTENCY_LEVELS, consistencyLevels.get(i), "family-info.freshness[" + i + "]"),
+                    SettingsObject.micros(stalenessBounds.get(i), "family-info.oldest-data-ms[" + i + "]"),
+                    requestClass.choice(IDEMPOTENCIES, "repeat"),
+                    requestClass.choice(DEDUPLICATION_SCOPES, "dedup-scope"),
+                    requestClass.micros("key-ttl-ms"),
+                    requestClass.micros("slo-ms"),
+                    requestClass.micros("deadline-ms"),
+                    requestClass.number("worth"),
+                    requestClass.number("late-value")));
         }
-        return classes;
+        return requestClasses;
     }
 
-    private static RoutingRules rules(JsonObject o) {
+    private static RoutingRules rules(SettingsObject rules) {
         return new RoutingRules(
-                micros(o, "rules.answer-slack-ms"),
-                micros(o, "rules.drain-grace-ms"),
-                o.has("dropped-stay-open") && flag(o, "rules.dropped-stay-open"),
-                number(o, "rules.start-capacity"),
-                micros(o, "rules.ramp-time-ms"),
-                number(o, "rules.fall-multiple"),
-                micros(o, "rules.tip-after-ms"));
+                rules.micros("answer-slack-ms"),
+                rules.micros("drain-grace-ms"),
+                rules.has("dropped-stay-open") && rules.flag("dropped-stay-open"),
+                rules.number("start-capacity"),
+                rules.micros("ramp-time-ms"),
+                rules.number("fall-multiple"),
+                rules.micros("tip-after-ms"));
     }
 
-    private static RoutingLimits limits(JsonObject o) {
+    private static RoutingLimits limits(SettingsObject bounds) {
         return new RoutingLimits(
-                flag(o, "bounds.probes"),
-                flag(o, "bounds.may-cancel"),
-                flag(o, "bounds.retry-after"),
-                micros(o, "bounds.max-retry-after-ms"),
-                (int) number(o, "bounds.max-attempts"),
-                micros(o, "bounds.connect-timeout-ms"));
-    }
-
-    private static CostWeights prices(JsonObject o) {
-        return new CostWeights(number(o, "charges.cross-zone"), number(o, "charges.probe"), number(o, "charges.waste"));
+                bounds.flag("probes"),
+                bounds.flag("may-cancel"),
+                bounds.flag("retry-after"),
+                bounds.micros("max-retry-after-ms"),
+                bounds.integer("max-attempts"),
+                bounds.micros("connect-timeout-ms"));
     }
 
-    private JsonObject object(String name) {
-        JsonElement e = root.get(name);
-        if (e == null || !e.isJsonObject()) {
-            throw unusable(name);
-        }
-        return e.getAsJsonObject();
+    private static CostWeights costs(SettingsObject charges) {
+        return new CostWeights(charges.number("cross-zone"), charges.number("probe"), charges.number("waste"));
     }
 
-    private static JsonElement value(JsonObject o, String path) {
-        JsonElement e = o.get(path.substring(path.lastIndexOf('.') + 1));
-        if (e == null || e.isJsonNull()) {
-            throw unusable(path);
+    private static List<String> texts(JsonArray array, String path) {
+        List<String> texts = new ArrayList<>();
+        for (JsonElement element : array) {
+            texts.add(SettingsObject.text(element, path));
         }
-        return e;
-    }
-
-    private static JsonArray array(JsonObject o, String path) {
-        JsonElement e = value(o, path);
-        if (!e.isJsonArray()) {
-            throw unusable(path);
-        }
-        return e.getAsJsonArray();
-    }
-
-    private static double number(JsonObject o, String path) {
-        try {
-            return Double.parseDouble(text(value(o, path), path));
-        } catch (NumberFormatException e) {
-            throw unusable(path);
-        }
-    }
-
-    private static String word(JsonObject o, String path) {
-        return text(value(o, path), path);
-    }
-
-    private static boolean flag(JsonObject o, String path) {
-        JsonElement e = value(o, path);
-        if (!e.isJsonPrimitive() || !e.getAsJsonPrimitive().isBoolean()) {
-            throw unusable(path);
-        }
-        return e.getAsBoolean();
-    }
-
-    private static long micros(JsonObject o, String path) {
-        return micros(value(o, path), path);
-    }
-
-    private static long micros(JsonElement millis, String path) {
-        try {
-            BigDecimal exact = new BigDecimal(text(millis, path));
-            return exact.movePointRight(3).setScale(0, RoundingMode.FLOOR).longValue();
-        } catch (NumberFormatException e) {
-            throw unusable(path);
-        }
-    }
-
-    private static String text(JsonElement e, String path) {
-        if (!e.isJsonPrimitive()) {
-            throw unusable(path);
-        }
-        return e.getAsString();
-    }
-
-    private static <T> T choice(Map<String, T> known, JsonObject o, String path) {
-        T choice = known.get(word(o, path));
-        if (choice == null) {
-            throw unusable(path);
-        }
-        return choice;
-    }
-
-    private static IllegalArgumentException unusable(String path) {
-        return new IllegalArgumentException("unusable setting: " + path);
+        return texts;
     }
 }
