--- /dev/null
+++ b/src/main/java/crankwick/app/LabCommand.java
@@ -0,0 +1,26 @@
+package crankwick.app;
+
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Spec;
+
+/** {@code lab}: deterministic simulations. */
+@Command(
+        name = "lab",
+        description = "Experiments in simulated time.",
+        mixinStandardHelpOptions = true,
+        versionProvider = Commands.Version.class,
+        subcommands = {LabHandoverCommand.class, LabDrainsCommand.class})
+final class LabCommand implements Runnable {
+    @Spec
+    private CommandSpec spec;
+
+    @Override
+    public void run() {
+        throw new ParameterException(
+                spec.commandLine(),
+                "an experiment is wanted: "
+                        + String.join(", ", spec.subcommands().keySet()));
+    }
+}
--- a/src/main/java/crankwick/app/Main.java
+++ b/src/main/java/crankwick/app/Main.java
@@ -20,13 +20,15 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * {@code serve} is one real proxy; {@code simhost} speaks the simulator's wire with the same decisions. Both
- * start without the command line's library; {@link Commands} has the rest.
+ * The entry point. {@code serve}, one real proxy, and {@code simhost}, the adapter to the simulator, start without
+ * the command line's library; {@link Commands} runs the rest.
  */
 public final class Main {
+    private static final int EXIT_USAGE = 2;
+
     private Main() {}
 
-    /** Exits 2 with one line where the command or a configuration can't be used. */
+    /** Exits with status 2 and one line where the command or a configuration can't be used. */
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length == 1 && args[0].equals("simhost")) {
             SimulatorCommand.run();
@@ -39,33 +41,34 @@
         }
     }
 
-    /** The platform's front where the platform configures one, the TDS front where an operator does. */
-    static void serve(Path operator) throws IOException, InterruptedException {
-        System.setProperty("java.util.logging.config.class", LibraryLog.class.getName());
+    /** Serves the platform's listener if ROUTER_CONFIG is set, the TDS listener if an operator's file is given. */
+    static void serve(Path operatorFile) throws IOException, InterruptedException {
+        System.setProperty("java.util.logging.config.class", LoggingBridge.class.getName());
         List<Service> services = new CopyOnWriteArrayList<>();
         onHangup(() -> services.forEach(Service::reload));
         try {
-            String platform = System.getenv("ROUTER_CONFIG");
-            if (platform == null && operator == null) {
-                refuse("neither ROUTER_CONFIG nor an operator's file is given");
+            String platformFile = System.getenv("ROUTER_CONFIG");
+            if (platformFile == null && operatorFile == null) {
+                exitWithUsage("neither ROUTER_CONFIG nor an operator's file is given");
             }
-            PlatformConfig config = platform == null ? null : PlatformConfig.read(Path.of(platform));
-            OperatorConfig file = operator == null ? null : OperatorConfig.read(operator);
+            PlatformConfig platform = platformFile == null ? null : PlatformConfig.read(Path.of(platformFile));
+            OperatorConfig operator = operatorFile == null ? null : OperatorConfig.read(operatorFile);
             Transport transport = new Transport();
-            if (config != null) {
-                services.add(platform(Path.of(platform), config, transport, file == null ? null : file.changes()));
+            if (platform != null) {
+                FailoverSettings failoverSettings = operator == null ? null : operator.failoverSettings();
+                services.add(startPlatform(Path.of(platformFile), platform, transport, failoverSettings));
             }
-            if (file != null) {
-                services.add(tds(operator, file, transport));
+            if (operator != null) {
+                services.add(startTds(operatorFile, operator, transport));
             }
         } catch (IllegalArgumentException e) {
-            refuse(e.getMessage());
+            exitWithUsage(e.getMessage());
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> close(services), "shutdown"));
         Thread.currentThread().join();
     }
 
-    /** All fronts end side by side: the time until SIGKILL is the same for each. */
+    /** All listeners shut down side by side: the time until SIGKILL is the same for each. */
     private static void close(List<Service> services) {
         services.forEach(Service::beginClose);
         services.forEach(Service::awaitClosed);
@@ -77,18 +80,19 @@
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
     }
 
-    /** An operator's file holds for the platform's front too in what it says of changes of primaries. */
-    private static Service platform(Path file, PlatformConfig config, Transport transport, FailoverSettings changes)
+    /** The platform's listener; the failover settings are the operator's, null without them. */
+    private static Service startPlatform(
+            Path file, PlatformConfig config, Transport transport, FailoverSettings failoverSettings)
             throws IOException {
-        var wire = new Service.Wire("pg", new PgClientCodec(), new PgDatabaseCodec());
+        var protocol = new Service.Protocol("pg", new PgClientCodec(), new PgDatabaseCodec());
         Service service = new Service(
-                wire,
+                protocol,
                 config.settings(),
                 config.seed(),
                 Map.of("", Contract.UNLIMITED),
                 config.sockets(),
                 transport,
-                changes);
+                failoverSettings);
         EndpointListCodec lists = new EndpointListCodec(config.settings().zoneNames());
         service.start(
                 config.listen(),
@@ -104,33 +108,39 @@
                         config.known(),
                         config.version(),
                         config.seed(),
-                        service::onListed));
+                        service::onEndpointsUpdated));
         return service;
     }
 
-    private static Service tds(Path path, OperatorConfig file, Transport transport) throws IOException {
-        var wire = new Service.Wire("tds", new TdsClientCodec(), new TdsDatabaseCodec());
-        List<String> zones = file.settings().zoneNames();
+    private static Service startTds(Path file, OperatorConfig config, Transport transport) throws IOException {
+        var protocol = new Service.Protocol("tds", new TdsClientCodec(), new TdsDatabaseCodec());
+        List<String> zones = config.settings().zoneNames();
         Service service = new Service(
-                wire, file.settings(), System.nanoTime(), file.contracts(), file.sockets(), transport, file.changes());
-        Discovery.ListUpdate known = EndpointList.complete(DnsSdZoneFile.parse(file.zone(), zones));
+                protocol,
+                config.settings(),
+                System.nanoTime(),
+                config.contracts(),
+                config.sockets(),
+                transport,
+                config.failoverSettings());
+        Discovery.ListUpdate known = EndpointList.complete(DnsSdZoneFile.parse(config.zone(), zones));
         service.start(
-                file.listen(),
-                file.sockets(),
+                config.listen(),
+                config.sockets(),
                 known,
                 (loop, clock) -> new DnsSdZoneFile(
-                        file.zone(),
-                        () -> OperatorConfig.read(path).zone(),
+                        config.zone(),
+                        () -> OperatorConfig.read(file).zone(),
                         zones,
                         known,
-                        file.rereadEvery(),
+                        config.rereadIntervalMicros(),
                         loop,
-                        service::onListed));
+                        service::onEndpointsUpdated));
         return service;
     }
 
-    private static void refuse(String why) {
-        System.err.println(why);
-        System.exit(2);
+    private static void exitWithUsage(String message) {
+        System.err.println(message);
+        System.exit(EXIT_USAGE);
     }
 }
--- a/src/main/java/crankwick/app/PlatformConfig.java
+++ b/src/main/java/crankwick/app/PlatformConfig.java
@@ -12,9 +12,11 @@
 import java.nio.file.Path;
 
 /**
- * What the platform tells a proxy, from the file named by {@code ROUTER_CONFIG}.
+ * The platform's configuration of a proxy, from the file named by {@code ROUTER_CONFIG}.
  *
- * @param version that of the list {@code known}, which may be old
+ * @param sockets the limit of open sockets
+ * @param version the version of {@code known}
+ * @param known the endpoint list at the start, which may be outdated
  */
 record PlatformConfig(
         String name,
@@ -25,6 +27,7 @@
         SettingsCodec settings,
         long version,
         Discovery.ListUpdate known) {
+    private static final int SEED_RADIX = 16;
 
     /** Reads the file; throws IllegalArgumentException naming the key at fault. */
     static PlatformConfig read(Path file) throws IOException {
@@ -44,7 +47,7 @@
             InetSocketAddress discovery =
                     EndpointListCodec.address(root.get(key).getAsString());
             key = "seed";
-            long seed = Long.parseUnsignedLong(root.get(key).getAsString(), 16);
+            long seed = Long.parseUnsignedLong(root.get(key).getAsString(), SEED_RADIX);
             key = "limits.sockets";
             int sockets = root.getAsJsonObject("limits").get("sockets").getAsInt();
             return new PlatformConfig(
--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -23,63 +23,67 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One front with its broker, its databases and its list of them: the parts put together, and taken down. */
+/** One listener with its broker, database pool and discovery: constructs them, and shuts them down. */
 final class Service {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
-    /** After SIGTERM new connections arrive for up to 0.4 s; until then everything goes on. */
-    private static final long LINGER = 450_000;
+    /** How long after SIGTERM connections are still accepted: clients arrive for up to 0.4 s. */
+    private static final long ACCEPT_AFTER_SIGTERM_MICROS = 450_000;
 
-    /** How often the counters are logged: a process that is killed has no last word. */
-    private static final long COUNTERS_EVERY = 10_000_000;
+    /** Logged at intervals, since a process that is killed logs nothing at its end. */
+    private static final long COUNTERS_INTERVAL_MICROS = 10_000_000;
 
-    private static final long CLOSE_CHECK = 10_000;
-    /** The platform kills no sooner after SIGTERM than the longest deadline, at most this, and this more. */
-    private static final long KILL_AFTER_DEADLINE_MOST = 3_000_000;
+    private static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 10_000;
+
+    /** The platform sends SIGKILL no sooner than the longest deadline, up to this maximum, and the delay below. */
+    private static final long MAX_DEADLINE_BEFORE_KILL_MICROS = 3_000_000;
+
+    private static final long KILL_DELAY_AFTER_DEADLINE_MICROS = 700_000;
 
-    private static final long KILL_AFTER = 700_000;
     /** From the signal until the shutdown hook runs, and from its end until the process has ended. */
-    private static final long SIGNAL_AND_EXIT = 350_000;
-    /** The last answers are made so long before the end: a loop that is late on part of a core included. */
-    private static final long LAST_ANSWERS_BEFORE_END = 150_000;
-    /** Shares of the descriptors; the rest is for discovery, files and the transport. */
-    private static final double CLIENT_SHARE = 0.42;
+    private static final long SIGNAL_AND_EXIT_MICROS = 350_000;
+
+    /** Between the last replies and the end; covers an event loop that is late. */
+    private static final long LAST_REPLIES_BEFORE_END_MICROS = 150_000;
+
+    /** Fractions of the descriptors; the rest is for discovery, files and the transport. */
+    private static final double CLIENT_SOCKET_FRACTION = 0.42;
 
-    private static final double DATABASE_SHARE = 0.36;
+    private static final double DATABASE_SOCKET_FRACTION = 0.36;
 
-    /** What one wire needs. */
-    record Wire(String name, CodecFilter front, CodecFilter database) {}
+    /** A wire protocol's name and its codecs for both sides. */
+    record Protocol(String name, CodecFilter clientCodec, CodecFilter databaseCodec) {}
 
-    private final Wire wire;
+    private final Protocol protocol;
     private final SettingsCodec settings;
     private final Transport transport;
     private final EventLoop loop;
     private final Clock clock = new Clock();
     private final Broker broker;
     private final EffectRunner runner;
-    private final ClientListener front;
+    private final ClientListener listener;
     private Discovery discovery;
     private volatile DatabasePool pool;
     private String lastCounters = "";
     private final CountDownLatch closed = new CountDownLatch(1);
 
-    /** {@code changes} of primaries are left to the router alone where null. */
+    /** Failovers are left to the router alone where {@code failoverSettings} is null. */
     Service(
-            Wire wire,
+            Protocol protocol,
             SettingsCodec settings,
             long seed,
             Map<String, Contract> contracts,
             int sockets,
             Transport transport,
-            FailoverSettings changes) {
-        this.wire = wire;
+            FailoverSettings failoverSettings) {
+        this.protocol = protocol;
         this.settings = settings;
         this.transport = transport;
-        loop = new EventLoop("loop-" + wire.name());
-        broker = new Broker(settings.routingSettings(), seed, contracts, changes);
+        loop = new EventLoop("loop-" + protocol.name());
+        broker = new Broker(settings.routingSettings(), seed, contracts, failoverSettings);
         runner = new EffectRunner(broker, loop, clock);
-        front = new ClientListener(
+        listener = new ClientListener(
                 runner, loop, clock, settings.routingSettings(), settings.classNames(), contracts::containsKey, (int)
-                        (sockets * CLIENT_SHARE));
+                        (sockets * CLIENT_SOCKET_FRACTION));
     }
 
     /** Listens, and is ready once a list that names a database is known. */
@@ -87,102 +91,104 @@
             InetSocketAddress listen,
             int sockets,
             Discovery.ListUpdate known,
-            BiFunction<EventLoop, Clock, Discovery> discoveryOn)
+            BiFunction<EventLoop, Clock, Discovery> discoveryFactory)
             throws IOException {
         pool = new DatabasePool(
                 runner,
                 loop,
                 clock,
                 transport,
-                wire.database(),
+                protocol.databaseCodec(),
                 new PoolSettings(settings.routingSettings().limits().connectTimeout(), settings.connIdle(), (int)
-                        (sockets * DATABASE_SHARE)));
+                        (sockets * DATABASE_SOCKET_FRACTION)));
         loop.execute(() -> {
-            new StartupWarmup(settings, wire.front(), wire.database()).run();
-            discovery = discoveryOn.apply(loop, clock);
-            runner.attach(front, pool);
-            onListed(known);
+            new StartupWarmup(settings, protocol.clientCodec(), protocol.databaseCodec()).run();
+            discovery = discoveryFactory.apply(loop, clock);
+            runner.attach(listener, pool);
+            onEndpointsUpdated(known);
             discovery.start();
-            loop.after(COUNTERS_EVERY, this::logCounters);
+            loop.after(COUNTERS_INTERVAL_MICROS, this::logCounters);
         });
-        front.listen(transport, listen, wire.front());
+        listener.listen(transport, listen, protocol.clientCodec());
     }
 
-    /** News of the list, on the loop. */
-    void onListed(Discovery.ListUpdate news) {
-        runner.listed(news);
-        if (!news.discovered().isEmpty()) {
-            front.ready();
+    /** Takes an update of the endpoint list over, on the event loop. */
+    void onEndpointsUpdated(Discovery.ListUpdate update) {
+        runner.listed(update);
+        if (!update.discovered().isEmpty()) {
+            listener.ready();
         }
     }
 
-    /** Takes a new configuration's discovery over; an event like others, in turn with those of the end. */
+    /** Takes a new configuration's discovery over, as a task of the event loop. */
     void reload() {
         loop.execute(() -> {
             if (discovery != null) {
-                LOG.info("{} reads its configuration again", wire.name());
+                LOG.info("{} reloading its configuration", protocol.name());
                 discovery.reload();
             }
         });
     }
 
-    /** From the shutdown hook's start, how long the process may still take. */
-    private long timeToEnd() {
-        long longest = 0;
-        for (RequestClass kind : settings.routingSettings().requestClasses()) {
-            longest = Math.max(longest, kind.deadline());
+    /** Microseconds from the shutdown hook's start until the process must have ended. */
+    private long shutdownTimeoutMicros() {
+        long maxDeadline = 0;
+        for (RequestClass requestClass : settings.routingSettings().requestClasses()) {
+            maxDeadline = Math.max(maxDeadline, requestClass.deadline());
         }
-        return Math.min(longest, KILL_AFTER_DEADLINE_MOST) + KILL_AFTER - SIGNAL_AND_EXIT;
+        return Math.min(maxDeadline, MAX_DEADLINE_BEFORE_KILL_MICROS)
+                + KILL_DELAY_AFTER_DEADLINE_MICROS
+                - SIGNAL_AND_EXIT_MICROS;
     }
 
-    /** Serves on while clients may still come, then answers what is owed. */
+    /** Serves on while clients may still connect, then stops listening and drains. */
     void beginClose() {
-        long latest = clock.now() + timeToEnd();
+        long shutdownDeadline = clock.now() + shutdownTimeoutMicros();
         loop.execute(() -> LOG.info(
-                "{} told to end, {} requests open: {}", wire.name(), broker.unansweredRequests(), allCounters()));
-        loop.after(Math.min(LINGER, timeToEnd() / 2), () -> {
-            front.close(latest - LAST_ANSWERS_BEFORE_END);
-            awaitEnd(latest);
+                "{} shutting down, {} requests open: {}", protocol.name(), broker.unansweredRequests(), allCounters()));
+        loop.after(Math.min(ACCEPT_AFTER_SIGTERM_MICROS, shutdownTimeoutMicros() / 2), () -> {
+            listener.close(shutdownDeadline - LAST_REPLIES_BEFORE_END_MICROS);
+            awaitDrained(shutdownDeadline);
         });
     }
 
-    /** Waits until all is answered, or the time for it is over. */
+    /** Waits until all requests are answered, or the time until SIGKILL is over. */
     void awaitClosed() {
         try {
-            closed.await(timeToEnd() + LAST_ANSWERS_BEFORE_END, TimeUnit.MICROSECONDS);
+            closed.await(shutdownTimeoutMicros() + LAST_REPLIES_BEFORE_END_MICROS, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        LOG.info("{} counters: {}", wire.name(), allCounters());
+        LOG.info("{} counters: {}", protocol.name(), allCounters());
         if (broker.failover() != null) {
-            LOG.info("{} handover: {}", wire.name(), broker.failover().counters());
+            LOG.info("{} handover: {}", protocol.name(), broker.failover().counters());
         }
     }
 
     private String allCounters() {
-        return broker.counters() + " clients: " + front.counters() + " databases: " + pool.counters();
+        return broker.counters() + " clients: " + listener.counters() + " databases: " + pool.counters();
     }
 
     private void logCounters() {
-        String now = allCounters();
-        if (!now.equals(lastCounters)) {
-            lastCounters = now;
-            LOG.info("{} counted so far: {}", wire.name(), now);
+        String counters = allCounters();
+        if (!counters.equals(lastCounters)) {
+            lastCounters = counters;
+            LOG.info("{} counted so far: {}", protocol.name(), counters);
         }
-        loop.after(COUNTERS_EVERY, this::logCounters);
+        loop.after(COUNTERS_INTERVAL_MICROS, this::logCounters);
     }
 
-    private void awaitEnd(long latest) {
-        if (front.isEmpty() && broker.unansweredRequests() == 0 || clock.now() > latest) {
-            if (broker.unansweredRequests() > 0 || !front.isEmpty()) {
-                LOG.warn("{} ends with {} requests not answered", wire.name(), broker.unansweredRequests());
+    private void awaitDrained(long shutdownDeadline) {
+        if (listener.isEmpty() && broker.unansweredRequests() == 0 || clock.now() > shutdownDeadline) {
+            if (broker.unansweredRequests() > 0 || !listener.isEmpty()) {
+                LOG.warn("{} shut down with {} requests unanswered", protocol.name(), broker.unansweredRequests());
             }
             if (discovery != null) {
                 discovery.close();
             }
             closed.countDown();
         } else {
-            loop.after(CLOSE_CHECK, () -> awaitEnd(latest));
+            loop.after(SHUTDOWN_CHECK_INTERVAL_MICROS, () -> awaitDrained(shutdownDeadline));
         }
     }
 }
--- a/src/main/java/crankwick/app/StartupWarmup.java
+++ b/src/main/java/crankwick/app/StartupWarmup.java
@@ -22,88 +22,104 @@
 import java.util.stream.IntStream;
 
 /**
- * Puts a broker of its own through made-up requests before the proxy says that it is ready. It guards against
- * answers lost in the first second: two proxies that interpret and compile this code on one core while
- * requests come in were seen to run half a second late.
+ * Runs made-up requests through a broker of its own before the proxy is ready, so that the hot path is compiled
+ * before the first real requests.
  */
 final class StartupWarmup {
     private static final int REQUESTS = 100;
-    private static final long STEP = 5_000;
-    private static final int MEMBERS = 6;
+    private static final int ENDPOINTS = 6;
+    private static final long START_MICROS = 1_000_000_000_000_000L;
+    private static final long STEP_MICROS = 5_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long REQUIRED_POSITION_AGE_MILLIS = 900;
+    private static final int ATTEMPT_TIMEOUT_MILLIS = 400;
+    private static final int VALUE_BYTES = 8;
+    /** Every so many requests, one attempt ends with this result. */
+    private static final int RESET_INTERVAL = 50;
 
-    private final List<String> names;
+    private static final int INELIGIBLE_INTERVAL = 20;
+
+    private final List<String> classNames;
     private final Broker broker;
-    private final CodecFilter front;
-    private final CodecFilter database;
-    private final ArrayDeque<BrokerEvent> due = new ArrayDeque<>();
-    private long now = 1_000_000_000_000_000L;
+    private final CodecFilter clientCodec;
+    private final CodecFilter databaseCodec;
+    private final ArrayDeque<BrokerEvent> dueEvents = new ArrayDeque<>();
+    private long now = START_MICROS;
 
-    StartupWarmup(SettingsCodec settings, CodecFilter front, CodecFilter database) {
-        names = settings.classNames();
-        this.front = front;
-        this.database = database;
+    StartupWarmup(SettingsCodec settings, CodecFilter clientCodec, CodecFilter databaseCodec) {
+        classNames = settings.classNames();
+        this.clientCodec = clientCodec;
+        this.databaseCodec = databaseCodec;
         broker = new Broker(settings.routingSettings(), 1, Map.of("", Contract.UNLIMITED), null);
     }
 
     void run() {
-        List<Endpoint> members = IntStream.range(0, MEMBERS)
+        List<Endpoint> endpoints = IntStream.range(0, ENDPOINTS)
                 .mapToObj(
                         i -> new Endpoint("m" + i, 0, 0, i == 0 ? Role.PRIMARY : Role.UNKNOWN, EndpointStatus.LIVE, 0))
                 .toList();
-        tell(new BrokerEvent.EndpointsUpdated(EndpointUpdateKind.FULL, members));
+        handle(new BrokerEvent.EndpointsUpdated(EndpointUpdateKind.FULL, endpoints));
         for (int i = 1; i <= REQUESTS; i++) {
-            now += STEP;
-            int classIndex = i % names.size();
-            Statement statement = Statement.parse("/* id=9b1f03aa5c7e2d41,c=" + names.get(classIndex)
-                    + ",d=480,cluster=0,k=5c0f6e1a2b3d4c59,after=" + (now / 1_000 - 900)
+            now += STEP_MICROS;
+            int classIndex = i % classNames.size();
+            Statement statement = Statement.parse("/* id=9b1f03aa5c7e2d41,c=" + classNames.get(classIndex)
+                    + ",d=480,cluster=0,k=5c0f6e1a2b3d4c59,after="
+                    + (now / MICROS_PER_MILLI - REQUIRED_POSITION_AGE_MILLIS)
                     + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'");
-            database.encode(new DatabaseCommand.Run(statement.withTimeout(400)));
-            tell(new BrokerEvent.RequestReceived(new ClientRequest(
+            databaseCodec.encode(new DatabaseCommand.Run(statement.withTimeout(ATTEMPT_TIMEOUT_MILLIS)));
+            handle(new BrokerEvent.RequestReceived(new ClientRequest(
                     i,
                     Integer.toString(i),
                     "",
                     classIndex,
                     statement.groupId(),
                     statement.sessionNumber(),
-                    statement.requiredPosition() * 1_000,
-                    statement.timeoutMillis() * 1_000,
+                    statement.requiredPosition() * MICROS_PER_MILLI,
+                    statement.timeoutMillis() * MICROS_PER_MILLI,
                     statement.idempotencyKey(),
                     0)));
-            for (int events = due.size(); events > 0; events--) {
-                tell(due.poll());
+            for (int events = dueEvents.size(); events > 0; events--) {
+                handle(dueEvents.poll());
             }
         }
     }
 
-    private void tell(BrokerEvent event) {
+    private void handle(BrokerEvent event) {
         for (Effect effect : broker.reduce(event, now)) {
             if (effect instanceof Effect.SendAttempt send) {
-                due.add(new BrokerEvent.AttemptWritten(send.requestId(), send.attempt()));
-                due.add(ended(send));
-            } else if (effect instanceof Effect.SendReply answer) {
-                front.encode(new ClientReply.Final(answer.reply()));
-            } else if (effect instanceof Effect.CheckHealth probe) {
-                due.add(new BrokerEvent.HealthCheckEnded(
-                        probe.endpointId(), AttemptResult.OK, STEP, report(probe.endpointId())));
-            } else if (effect instanceof Effect.ScheduleTimer arm
-                    && arm.event() instanceof BrokerEvent.RoutingTimerFired) {
-                due.add(arm.event());
+                dueEvents.add(new BrokerEvent.AttemptWritten(send.requestId(), send.attempt()));
+                dueEvents.add(attemptEnded(send));
+            } else if (effect instanceof Effect.SendReply reply) {
+                clientCodec.encode(new ClientReply.Final(reply.reply()));
+            } else if (effect instanceof Effect.CheckHealth check) {
+                dueEvents.add(new BrokerEvent.HealthCheckEnded(
+                        check.endpointId(), AttemptResult.OK, STEP_MICROS, report(check.endpointId())));
+            } else if (effect instanceof Effect.ScheduleTimer timer
+                    && timer.event() instanceof BrokerEvent.RoutingTimerFired) {
+                dueEvents.add(timer.event());
             }
         }
     }
 
-    /** Most attempts are served; a few miss or break. */
-    private BrokerEvent ended(Effect.SendAttempt send) {
-        AttemptResult result = send.requestId() % 50 == 0
+    /** Most attempts succeed; a few are reset or reach an ineligible replica. */
+    private BrokerEvent attemptEnded(Effect.SendAttempt send) {
+        AttemptResult result = send.requestId() % RESET_INTERVAL == 0
                 ? AttemptResult.RESET
-                : send.requestId() % 20 == 0 ? AttemptResult.INELIGIBLE_REPLICA : AttemptResult.OK;
+                : send.requestId() % INELIGIBLE_INTERVAL == 0 ? AttemptResult.INELIGIBLE_REPLICA : AttemptResult.OK;
         LoadReport report = report(send.endpointId());
         return new BrokerEvent.AttemptEnded(
-                send.requestId(), send.attempt(), result, STEP, report.role(), report.position(), report, new byte[8]);
+                send.requestId(),
+                send.attempt(),
+                result,
+                STEP_MICROS,
+                report.role(),
+                report.position(),
+                report,
+                new byte[VALUE_BYTES]);
     }
 
-    private LoadReport report(String server) {
-        Role role = server.equals("m0") ? Role.PRIMARY : Role.REPLICA;
-        return new LoadReport(now - STEP, role, Double.NaN, Double.NaN, Double.NaN);
+    private LoadReport report(String endpointId) {
+        Role role = endpointId.equals("m0") ? Role.PRIMARY : Role.REPLICA;
+        return new LoadReport(now - STEP_MICROS, role, Double.NaN, Double.NaN, Double.NaN);
     }
 }
