--- a/src/main/java/crankwick/pg/PgClientCodec.java
+++ b/src/main/java/crankwick/pg/PgClientCodec.java
@@ -9,19 +9,22 @@
 
 /** The client's side of PostgreSQL's protocol: no password, simple queries. */
 public final class PgClientCodec extends CodecFilter {
-    private static final int VERSION_3 = 3 << 16;
     private static final int SSL_REQUEST = 80877103;
     private static final int GSS_REQUEST = 80877104;
     private static final int CANCEL_REQUEST = 80877102;
-    private static final int MAX_STARTUP = 10_000;
-    private static final int MAX_MESSAGE = 192 * 1024;
+    /** A startup message's length and code. */
+    private static final int STARTUP_HEADER_BYTES = 8;
+
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final int MAX_STARTUP_BYTES = 10_000;
+    private static final int MAX_MESSAGE_BYTES = 192 * 1024;
 
     @Override
     protected Decoder newDecoder() {
-        return new FrontDecoder();
+        return new ClientDecoder();
     }
 
-    private static final class FrontDecoder extends Decoder {
+    private static final class ClientDecoder extends Decoder {
         private boolean started;
 
         @Override
@@ -30,22 +33,27 @@
         }
 
         private boolean startup(ByteBuffer in, FilterChainContext context) {
-            if (in.remaining() < 4) {
+            if (in.remaining() < PgProtocol.LENGTH_BYTES) {
                 return false;
             }
             int length = in.getInt();
-            require(length >= 8 && length <= MAX_STARTUP, "unusable length of a startup message");
-            if (in.remaining() < length - 4) {
+            require(
+                    length >= STARTUP_HEADER_BYTES && length <= MAX_STARTUP_BYTES,
+                    "unusable length of a startup message");
+            if (in.remaining() < length - PgProtocol.LENGTH_BYTES) {
                 return false;
             }
             int code = in.getInt();
-            in.position(in.position() + length - 8);
+            in.position(in.position() + length - STARTUP_HEADER_BYTES);
             if (code == SSL_REQUEST || code == GSS_REQUEST) {
-                answer(context, new byte[] {'N'});
+                answer(context, new byte[] {PgProtocol.ENCRYPTION_REJECTED});
             } else if (code == CANCEL_REQUEST) {
                 emit(new ClientMessage.Quit());
             } else {
-                require(code >> 16 == VERSION_3 >> 16, "unknown version of the protocol");
+                require(
+                        code >> PgProtocol.VERSION_MAJOR_SHIFT
+                                == PgProtocol.VERSION_3 >> PgProtocol.VERSION_MAJOR_SHIFT,
+                        "unknown version of the protocol");
                 started = true;
                 emit(new ClientMessage.Login(""));
             }
@@ -53,19 +61,19 @@
         }
 
         private boolean command(ByteBuffer in) {
-            if (in.remaining() < 5) {
+            if (in.remaining() < PgProtocol.HEADER_BYTES) {
                 return false;
             }
             char type = (char) in.get();
             int length = in.getInt();
-            require(type == 'Q' || type == 'X', "not a simple query");
-            require(length >= 4 && length <= MAX_MESSAGE, "unusable length of a message");
-            if (in.remaining() < length - 4) {
+            require(type == PgProtocol.QUERY || type == PgProtocol.TERMINATE, "not a simple query");
+            require(length >= PgProtocol.LENGTH_BYTES && length <= MAX_MESSAGE_BYTES, "unusable length of a message");
+            if (in.remaining() < length - PgProtocol.LENGTH_BYTES) {
                 return false;
             }
-            byte[] body = new byte[length - 4];
+            byte[] body = new byte[length - PgProtocol.LENGTH_BYTES];
             in.get(body);
-            if (type == 'X') {
+            if (type == PgProtocol.TERMINATE) {
                 emit(new ClientMessage.Quit());
                 return true;
             }
@@ -96,61 +104,66 @@
     public byte[] encode(Object value) {
         PgWriter out = new PgWriter();
         if (value instanceof ClientReply.Final f) {
-            answer(out, f.reply());
+            writeReply(out, f.reply());
         } else if (value instanceof ClientReply.Nothing) {
-            out.end('I');
+            out.end(PgProtocol.EMPTY_QUERY_RESPONSE);
         } else if (value instanceof ClientReply.Unreadable u) {
-            error(out, "ERROR", "42601", u.fault(), null);
+            writeError(out, PgProtocol.SEVERITY_ERROR, PgProtocol.SYNTAX_ERROR, u.fault(), null);
         } else if (value instanceof ClientReply.Fatal f) {
-            error(
+            writeError(
                     out,
-                    "FATAL",
+                    PgProtocol.SEVERITY_FATAL,
                     switch (f.cause()) {
-                        case TOO_MANY -> "53300";
-                        case UNKNOWN_TEAM -> "28000";
-                        case BROKEN -> "08P01";
+                        case TOO_MANY -> PgProtocol.TOO_MANY_CONNECTIONS;
+                        case UNKNOWN_TEAM -> PgProtocol.INVALID_AUTHORIZATION;
+                        case BROKEN -> PgProtocol.PROTOCOL_VIOLATION;
                     },
                     f.fault(),
                     null);
             return out.toBytes();
         } else {
-            out.int32(0).end('R');
-            out.text("server_version").text("14.0 (crankwick)").end('S');
-            out.text("client_encoding").text("UTF8").end('S');
+            out.int32(0).end(PgProtocol.AUTHENTICATION);
+            out.text("server_version").text("14.0 (crankwick)").end(PgProtocol.PARAMETER_STATUS);
+            out.text("client_encoding").text("UTF8").end(PgProtocol.PARAMETER_STATUS);
         }
-        return out.int8('I').end('Z').toBytes();
+        return out.int8(PgProtocol.IDLE).end(PgProtocol.READY_FOR_QUERY).toBytes();
     }
 
-    private static void answer(PgWriter out, Reply reply) {
+    private static void writeReply(PgWriter out, Reply reply) {
         if (reply instanceof Reply.Served served) {
             out.row(served.value());
-            out.text(served.write() ? "INSERT 0 1" : "SELECT 1").end('C');
-        } else if (reply instanceof Reply.Rejected refused) {
-            long millis = (refused.retryAfter() + 999) / 1_000;
-            error(out, "ERROR", "53300", "refused: " + refused.reason(), millis > 0 ? Long.toString(millis) : null);
+            out.text(served.write() ? "INSERT 0 1" : "SELECT 1").end(PgProtocol.COMMAND_COMPLETE);
+        } else if (reply instanceof Reply.Rejected rejected) {
+            long millis = (rejected.retryAfter() + (MICROS_PER_MILLI - 1)) / MICROS_PER_MILLI;
+            writeError(
+                    out,
+                    PgProtocol.SEVERITY_ERROR,
+                    PgProtocol.TOO_MANY_CONNECTIONS,
+                    "refused: " + rejected.reason(),
+                    millis > 0 ? Long.toString(millis) : null);
         } else if (reply instanceof Reply.Failed failed) {
             String code =
                     switch (failed.reason()) {
-                        case CLASS_NOT_ALLOWED -> "42501";
-                        case ID_IN_USE -> "42710";
-                        default -> "58000";
+                        case CLASS_NOT_ALLOWED -> PgProtocol.INSUFFICIENT_PRIVILEGE;
+                        case ID_IN_USE -> PgProtocol.DUPLICATE_OBJECT;
+                        default -> PgProtocol.SYSTEM_ERROR;
                     };
-            error(out, "ERROR", code, "failed: " + failed.reason(), null);
+            writeError(out, PgProtocol.SEVERITY_ERROR, code, "failed: " + failed.reason(), null);
         }
     }
 
-    private static void error(PgWriter out, String severity, String code, String message, String detail) {
-        out.int8('S')
+    private static void writeError(PgWriter out, String severity, String code, String message, String detail) {
+        out.int8(PgProtocol.FIELD_SEVERITY)
                 .text(severity)
-                .int8('V')
+                .int8(PgProtocol.FIELD_SEVERITY_NONLOCALIZED)
                 .text(severity)
-                .int8('C')
+                .int8(PgProtocol.FIELD_SQLSTATE)
                 .text(code)
-                .int8('M')
+                .int8(PgProtocol.FIELD_MESSAGE)
                 .text(message);
         if (detail != null) {
-            out.int8('D').text(detail);
+            out.int8(PgProtocol.FIELD_DETAIL).text(detail);
         }
-        out.int8(0).end('E');
+        out.int8(0).end(PgProtocol.ERROR_RESPONSE);
     }
 }
--- a/src/main/java/crankwick/pg/PgDatabaseCodec.java
+++ b/src/main/java/crankwick/pg/PgDatabaseCodec.java
@@ -12,19 +12,16 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
 /**
- * The database's side of PostgreSQL's protocol. An answer is taken only in its exact sequence: a row's
+ * The database's side of PostgreSQL's protocol. A response is accepted only in its exact sequence: a row's
  * description, one row and the command's completion, or an error; then the connection is ready. Parameters
  * and notices may stand between.
  */
 public final class PgDatabaseCodec extends CodecFilter {
-    private static final int VERSION_3 = 3 << 16;
-    private static final int MAX_MESSAGE = 128 * 1024;
+    private static final int MAX_MESSAGE_BYTES = 128 * 1024;
     /** What follows a column's name: table, column, type, size, modifier, format. */
-    private static final int COLUMN_FACTS = 18;
+    private static final int COLUMN_ATTRIBUTES_BYTES = 18;
 
-    private static final int CODE_LENGTH = 5;
-
-    /** How far an answer has come. */
+    /** How much of a response has been received. */
     private enum Stage {
         NOTHING,
         DESCRIBED,
@@ -39,7 +36,7 @@
 
     private static final class DatabaseDecoder extends Decoder {
         private boolean greeted;
-        private boolean probe;
+        private boolean healthCheck;
         private Stage stage = Stage.NOTHING;
         private boolean begun;
         private String error;
@@ -51,21 +48,21 @@
         @Override
         protected void asked(Object command) {
             super.asked(command);
-            probe = command instanceof DatabaseCommand.AskReport;
+            healthCheck = command instanceof DatabaseCommand.AskReport;
         }
 
         @Override
         protected boolean decode(ByteBuffer in, FilterChainContext context) {
-            if (in.remaining() < 5) {
+            if (in.remaining() < PgProtocol.HEADER_BYTES) {
                 return false;
             }
             char type = (char) in.get();
             int length = in.getInt();
-            require(length >= 4 && length <= MAX_MESSAGE, "unusable length of a message");
-            if (in.remaining() < length - 4) {
+            require(length >= PgProtocol.LENGTH_BYTES && length <= MAX_MESSAGE_BYTES, "unusable length of a message");
+            if (in.remaining() < length - PgProtocol.LENGTH_BYTES) {
                 return false;
             }
-            byte[] body = new byte[length - 4];
+            byte[] body = new byte[length - PgProtocol.LENGTH_BYTES];
             in.get(body);
             begun = true;
             ByteBuffer fields = ByteBuffer.wrap(body);
@@ -76,35 +73,35 @@
 
         private void take(char type, ByteBuffer body) {
             switch (type) {
-                case 'S' -> parameter(text(body), text(body));
-                case 'N' -> body.position(body.limit());
-                case 'R' -> require(!greeted && body.getInt() == 0, "a password is wanted");
-                case 'K' -> {
+                case PgProtocol.PARAMETER_STATUS -> parameter(text(body), text(body));
+                case PgProtocol.NOTICE_RESPONSE -> body.position(body.limit());
+                case PgProtocol.AUTHENTICATION -> require(!greeted && body.getInt() == 0, "a password is wanted");
+                case PgProtocol.BACKEND_KEY_DATA -> {
                     require(!greeted, "a key out of place");
                     body.getLong();
                 }
-                case 'T' -> {
+                case PgProtocol.ROW_DESCRIPTION -> {
                     advance(Stage.NOTHING, Stage.DESCRIBED, type);
                     require(body.getShort() == 1, "not one column");
                     text(body);
-                    body.position(body.position() + COLUMN_FACTS);
+                    body.position(body.position() + COLUMN_ATTRIBUTES_BYTES);
                 }
-                case 'D' -> {
+                case PgProtocol.DATA_ROW -> {
                     advance(Stage.DESCRIBED, Stage.ROW, type);
                     row(body);
                 }
-                case 'C' -> {
+                case PgProtocol.COMMAND_COMPLETE -> {
                     advance(Stage.ROW, Stage.DONE, type);
                     require(!text(body).isEmpty(), "no command is complete");
                 }
-                case 'E' -> {
+                case PgProtocol.ERROR_RESPONSE -> {
                     require(error == null && stage != Stage.DONE, "an error out of place");
                     if (error(body) || !greeted) {
                         answered(true);
                     }
                 }
-                case 'Z' -> {
-                    require(body.get() == 'I', "a transaction");
+                case PgProtocol.READY_FOR_QUERY -> {
+                    require(body.get() == PgProtocol.IDLE, "a transaction");
                     if (greeted) {
                         require(error != null || stage == Stage.DONE, "ready without an answer");
                         answered(false);
@@ -150,18 +147,18 @@
             error = "";
             for (byte field = body.get(); field != 0; field = body.get()) {
                 String content = text(body);
-                if (field == 'C') {
+                if (field == PgProtocol.FIELD_SQLSTATE) {
                     error = content;
-                } else if (field == 'S' || field == 'V') {
-                    fatal |= content.equals("FATAL") || content.equals("PANIC");
+                } else if (field == PgProtocol.FIELD_SEVERITY || field == PgProtocol.FIELD_SEVERITY_NONLOCALIZED) {
+                    fatal |= content.equals(PgProtocol.SEVERITY_FATAL) || content.equals(PgProtocol.SEVERITY_PANIC);
                 }
             }
-            require(error.length() == CODE_LENGTH, "an error without a code");
+            require(error.length() == PgProtocol.SQLSTATE_LENGTH, "an error without a code");
             return fatal;
         }
 
         private void answered(boolean last) {
-            if (probe && value != null) {
+            if (healthCheck && value != null) {
                 report = LoadReportCodec.parse(new String(value, PgWriter.CHARSET));
             }
             AttemptResult result = error != null ? result(error) : AttemptResult.OK;
@@ -192,8 +189,9 @@
 
         private static AttemptResult result(String code) {
             return switch (code) {
-                case "25006", "72000" -> AttemptResult.INELIGIBLE_REPLICA;
-                case "53300", "57P03" -> AttemptResult.REJECTED_OVERLOADED;
+                case PgProtocol.READ_ONLY_TRANSACTION, PgProtocol.SNAPSHOT_TOO_OLD -> AttemptResult.INELIGIBLE_REPLICA;
+                case PgProtocol.TOO_MANY_CONNECTIONS, PgProtocol.CANNOT_CONNECT_NOW -> AttemptResult
+                        .REJECTED_OVERLOADED;
                 default -> AttemptResult.ERROR;
             };
         }
@@ -217,12 +215,12 @@
     public byte[] encode(Object value) {
         PgWriter out = new PgWriter();
         if (value instanceof DatabaseCommand.Run run) {
-            return out.text(run.text()).end('Q').toBytes();
+            return out.text(run.text()).end(PgProtocol.QUERY).toBytes();
         }
         if (value instanceof DatabaseCommand.AskReport) {
-            return out.text("SHOW stats").end('Q').toBytes();
+            return out.text("SHOW stats").end(PgProtocol.QUERY).toBytes();
         }
-        return out.int32(VERSION_3)
+        return out.int32(PgProtocol.VERSION_3)
                 .text("user")
                 .text("crankwick")
                 .text("database")
--- a/src/main/java/crankwick/tds/TdsClientCodec.java
+++ b/src/main/java/crankwick/tds/TdsClientCodec.java
@@ -10,26 +10,29 @@
 
 /** The client's side of TDS: no encryption, SQL batches, attentions; the login's user names the team. */
 public final class TdsClientCodec extends CodecFilter {
-    private static final int LOGIN_USER = 40;
-    private static final int ERROR_SEVERITY = 16;
-    private static final int FATAL_SEVERITY = 20;
+    /** Where LOGIN7 has the offset and the length of the user's name. */
+    private static final int LOGIN_USER_OFFSET = 40;
+
+    private static final int ENVCHANGE_DATABASE = 1;
+    private static final int ENVCHANGE_PACKET_SIZE = 4;
+    private static final int LOGINACK_SQL_INTERFACE = 1;
 
     @Override
     protected Decoder newDecoder() {
-        return new FrontDecoder();
+        return new ClientDecoder();
     }
 
-    private static final class FrontDecoder extends TdsDecoder {
+    private static final class ClientDecoder extends TdsDecoder {
         private boolean loggedIn;
 
         @Override
         protected void take(int type, ByteBuffer body, FilterChainContext context) {
             if (type == Tds.PRELOGIN && !loggedIn) {
-                answer(context, new TdsWriter().bytes(Tds.PRELOGIN_BODY).packets(Tds.RESPONSE));
+                answer(context, new TdsWriter().bytes(Tds.PRELOGIN_BODY).packets(Tds.TABULAR_RESULT));
             } else if (type == Tds.LOGIN7 && !loggedIn) {
                 loggedIn = true;
-                int from = body.getShort(LOGIN_USER) & 0xFFFF;
-                int chars = body.getShort(LOGIN_USER + 2) & 0xFFFF;
+                int from = body.getShort(LOGIN_USER_OFFSET) & Tds.SHORT_MASK;
+                int chars = body.getShort(LOGIN_USER_OFFSET + 2) & Tds.SHORT_MASK;
                 emit(new ClientMessage.Login(text(body.position(from), chars)));
             } else if (type == Tds.SQL_BATCH && loggedIn) {
                 body.position(body.getInt());
@@ -52,62 +55,71 @@
     public byte[] encode(Object value) {
         TdsWriter out = new TdsWriter();
         if (value instanceof ClientReply.Final f) {
-            answer(out, f.reply());
+            writeReply(out, f.reply());
         } else if (value instanceof ClientReply.Nothing) {
             out.done(0, 0);
         } else if (value instanceof ClientReply.AttentionHeard) {
             out.done(Tds.DONE_ATTENTION, 0);
         } else if (value instanceof ClientReply.Unreadable u) {
-            error(out, Tds.UNREADABLE, u.fault());
+            writeError(out, Tds.UNREADABLE, u.fault());
         } else if (value instanceof ClientReply.Fatal f) {
             int number =
                     switch (f.cause()) {
-                        case TOO_MANY -> Tds.TOO_MANY;
+                        case TOO_MANY -> Tds.TOO_MANY_CONNECTIONS;
                         case UNKNOWN_TEAM -> Tds.LOGIN_FAILED;
-                        case BROKEN -> Tds.BROKEN;
+                        case BROKEN -> Tds.PROTOCOL_ERROR;
                     };
-            out.message(Tds.ERROR, number, FATAL_SEVERITY, f.fault()).done(Tds.DONE_ERROR, 0);
+            out.message(Tds.ERROR, number, Tds.FATAL_SEVERITY, f.fault()).done(Tds.DONE_ERROR, 0);
         } else {
-            String size = Integer.toString(Tds.PACKET_SIZE);
-            out.token(Tds.ENVCHANGE, new TdsWriter().int8(1).shortText("core").shortText(""));
-            out.token(Tds.ENVCHANGE, new TdsWriter().int8(4).shortText(size).shortText(size));
+            String size = Integer.toString(Tds.PACKET_BYTES);
+            out.token(
+                    Tds.ENVCHANGE,
+                    new TdsWriter().int8(ENVCHANGE_DATABASE).shortText("core").shortText(""));
+            out.token(
+                    Tds.ENVCHANGE,
+                    new TdsWriter().int8(ENVCHANGE_PACKET_SIZE).shortText(size).shortText(size));
             out.token(
                     Tds.LOGINACK,
                     new TdsWriter()
-                            .int8(1)
+                            .int8(LOGINACK_SQL_INTERFACE)
                             .int32(Integer.reverseBytes(Tds.VERSION))
                             .shortText("crankwick")
                             .int32(0));
             out.done(0, 0);
         }
-        return out.packets(Tds.RESPONSE);
+        return out.packets(Tds.TABULAR_RESULT);
     }
 
-    private static void answer(TdsWriter out, Reply reply) {
+    private static void writeReply(TdsWriter out, Reply reply) {
         if (reply instanceof Reply.Served served) {
             if (served.position() != AbsentValue.NONE) {
-                long millis = Math.floorDiv(served.position() + 999, 1_000L);
-                out.message(Tds.INFO, Tds.FACT, 0, "wal_time=" + millis);
+                long millis =
+                        Math.floorDiv(served.position() + (Tds.MICROS_PER_MILLI - 1), (long) Tds.MICROS_PER_MILLI);
+                out.message(Tds.INFO, Tds.FACT_INFO, 0, "wal_time=" + millis);
             }
             out.row(served.value());
             out.done(Tds.DONE_COUNT, 1);
-        } else if (reply instanceof Reply.Rejected refused) {
-            if (refused.retryAfter() > 0) {
-                out.message(Tds.INFO, Tds.FACT, 0, "retry_after=" + (refused.retryAfter() + 999) / 1_000);
+        } else if (reply instanceof Reply.Rejected rejected) {
+            if (rejected.retryAfter() > 0) {
+                out.message(
+                        Tds.INFO,
+                        Tds.FACT_INFO,
+                        0,
+                        "retry_after=" + (rejected.retryAfter() + (Tds.MICROS_PER_MILLI - 1)) / Tds.MICROS_PER_MILLI);
             }
-            error(
+            writeError(
                     out,
-                    switch (refused.reason()) {
-                        case OVER_RATE -> Tds.REFUSED_OVER_RATE;
-                        case OVER_OUTSTANDING -> Tds.REFUSED_OVER_OUTSTANDING;
-                        case NO_PRIMARY -> Tds.REFUSED_NO_PRIMARY;
-                        case OVER_KEYS -> Tds.REFUSED_OVER_KEYS;
-                        case OVER_OPEN_COMMANDS -> Tds.REFUSED_OVER_OPEN_COMMANDS;
-                        default -> Tds.REFUSED_GIVEN_UP;
+                    switch (rejected.reason()) {
+                        case OVER_RATE -> Tds.REJECTED_OVER_RATE;
+                        case OVER_OUTSTANDING -> Tds.REJECTED_OVER_OUTSTANDING;
+                        case NO_PRIMARY -> Tds.REJECTED_NO_PRIMARY;
+                        case OVER_KEYS -> Tds.REJECTED_OVER_KEYS;
+                        case OVER_OPEN_COMMANDS -> Tds.REJECTED_OVER_OPEN_COMMANDS;
+                        default -> Tds.REJECTED_GIVEN_UP;
                     },
-                    "refused: " + refused.reason());
+                    "refused: " + rejected.reason());
         } else if (reply instanceof Reply.Failed failed) {
-            error(
+            writeError(
                     out,
                     switch (failed.reason()) {
                         case CLASS_NOT_ALLOWED -> Tds.FAILED_CLASS;
@@ -120,7 +132,7 @@
         }
     }
 
-    private static void error(TdsWriter out, int number, String text) {
-        out.message(Tds.ERROR, number, ERROR_SEVERITY, text).done(Tds.DONE_ERROR, 0);
+    private static void writeError(TdsWriter out, int number, String text) {
+        out.message(Tds.ERROR, number, Tds.ERROR_SEVERITY, text).done(Tds.DONE_ERROR, 0);
     }
 }
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -16,17 +16,19 @@
 public final class TdsDatabaseCodec extends CodecFilter {
     private static final String USER = "crankwick";
     /** LOGIN7's fixed part; pairs of offset and length stand in it up to 72, the second is the user's. */
-    private static final int LOGIN_FIXED = 94;
+    private static final int LOGIN_FIXED_BYTES = 94;
 
     private static final int LOGIN_PAIRS = 9;
     private static final int LOGIN_PAIRS_END = 72;
-    private static final int FATAL_SEVERITY = 20;
     private static final int DONE_PROC = 0xFE;
     private static final int DONE_IN_PROC = 0xFF;
-    private static final int DONE_BODY = 12;
+    private static final int DONE_BODY_BYTES = 12;
+    private static final int ALL_HEADERS_BYTES = 22;
+    private static final int TRANSACTION_HEADER_BYTES = 18;
+    private static final int TRANSACTION_HEADER = 2;
     private static final int RETURN_STATUS = 0x79;
-    /** What stands for the length of a value in chunks. */
-    private static final long NULL = -1;
+    /** Special values of the length of a value in chunks. */
+    private static final long NULL_LENGTH = -1;
 
     private static final long UNKNOWN_LENGTH = -2;
 
@@ -35,7 +37,7 @@
         return new DatabaseDecoder();
     }
 
-    /** How far an answer has come. */
+    /** How much of a response has been received. */
     private enum Stage {
         NOTHING,
         DESCRIBED,
@@ -46,7 +48,7 @@
     private static final class DatabaseDecoder extends TdsDecoder {
         private boolean preloggedIn;
         private boolean greeted;
-        private boolean probe;
+        private boolean healthCheck;
         private Stage stage = Stage.NOTHING;
         private boolean rowSeen;
         private boolean loginAck;
@@ -61,12 +63,12 @@
         @Override
         protected void asked(Object command) {
             super.asked(command);
-            probe = command instanceof DatabaseCommand.AskReport;
+            healthCheck = command instanceof DatabaseCommand.AskReport;
         }
 
         @Override
         protected void take(int type, ByteBuffer body, FilterChainContext context) {
-            require(type == Tds.RESPONSE, "not a response");
+            require(type == Tds.TABULAR_RESULT, "not a response");
             if (!preloggedIn) {
                 preloggedIn = true;
                 answer(context, login());
@@ -74,7 +76,7 @@
             }
             while (body.hasRemaining()) {
                 require(stage != Stage.DONE, "a token behind the last one");
-                token(body.get() & 0xFF, body);
+                token(body.get() & Tds.BYTE_MASK, body);
             }
             require(stage == Stage.DONE, "an answer without its end");
             if (!greeted && loginAck && error == 0) {
@@ -83,7 +85,7 @@
                 emitLast(new DatabaseMessage.Greeted());
                 return;
             }
-            require(error != 0 || rowSeen != probe, "an answer without its row");
+            require(error != 0 || rowSeen != healthCheck, "an answer without its row");
             AttemptResult result = error == 0 ? AttemptResult.OK : result(error);
             var answer = new DatabaseMessage.Answered(result, role, position, report, value, fatal || !greeted);
             clear();
@@ -105,33 +107,33 @@
                 }
                 case Tds.DONE, DONE_PROC, DONE_IN_PROC -> {
                     boolean more = (body.getShort() & Tds.DONE_MORE) != 0;
-                    body.position(body.position() + DONE_BODY - 2);
+                    body.position(body.position() + DONE_BODY_BYTES - 2);
                     stage = more ? stage : Stage.DONE;
                 }
                 case RETURN_STATUS -> body.getInt();
                 case Tds.ERROR, Tds.INFO, Tds.LOGINACK, Tds.ENVCHANGE -> {
-                    int length = body.getShort() & 0xFFFF;
+                    int length = body.getShort() & Tds.SHORT_MASK;
                     ByteBuffer token = body.slice(body.position(), length).order(body.order());
                     body.position(body.position() + length);
                     loginAck |= type == Tds.LOGINACK;
                     if (type == Tds.ERROR || type == Tds.INFO) {
-                        word(type, token);
+                        message(type, token);
                     }
                 }
                 default -> throw new IllegalArgumentException("unknown token " + type);
             }
         }
 
-        private void word(int type, ByteBuffer token) {
+        private void message(int type, ByteBuffer token) {
             int number = token.getInt();
             token.get();
             int severity = token.get();
-            String text = text(token, token.getShort() & 0xFFFF);
+            String text = text(token, token.getShort() & Tds.SHORT_MASK);
             if (type == Tds.ERROR) {
                 require(number != 0, "an error without a number");
                 error = error == 0 ? number : error;
-                fatal |= severity >= FATAL_SEVERITY;
-            } else if (number == Tds.FACT) {
+                fatal |= severity >= Tds.FATAL_SEVERITY;
+            } else if (number == Tds.FACT_INFO) {
                 int equals = text.indexOf('=');
                 String content = text.substring(equals + 1);
                 switch (text.substring(0, Math.max(0, equals))) {
@@ -147,26 +149,26 @@
             require(body.getShort() == 1, "not one column");
             body.getInt();
             body.getShort();
-            require((body.get() & 0xFF) == Tds.VARBINARY, "not a varbinary");
-            maxLength = body.getShort() & 0xFFFF;
-            text(body, body.get() & 0xFF);
+            require((body.get() & Tds.BYTE_MASK) == Tds.VARBINARY, "not a varbinary");
+            maxLength = body.getShort() & Tds.SHORT_MASK;
+            text(body, body.get() & Tds.BYTE_MASK);
         }
 
         private byte[] row(ByteBuffer body) {
-            if (maxLength != Tds.MAX) {
-                int length = body.getShort() & 0xFFFF;
-                return length == Tds.MAX ? null : bytes(body, length);
+            if (maxLength != Tds.VARBINARY_MAX) {
+                int length = body.getShort() & Tds.SHORT_MASK;
+                return length == Tds.VARBINARY_MAX ? null : bytes(body, length);
             }
             long length = body.getLong();
-            if (length == NULL) {
+            if (length == NULL_LENGTH) {
                 return null;
             }
-            ByteArrayOutputStream whole = new ByteArrayOutputStream();
+            ByteArrayOutputStream complete = new ByteArrayOutputStream();
             for (int chunk = body.getInt(); chunk != 0; chunk = body.getInt()) {
-                whole.writeBytes(bytes(body, chunk));
+                complete.writeBytes(bytes(body, chunk));
             }
-            require(length == whole.size() || length == UNKNOWN_LENGTH, "a value that does not fit its row");
-            return whole.toByteArray();
+            require(length == complete.size() || length == UNKNOWN_LENGTH, "a value that does not fit its row");
+            return complete.toByteArray();
         }
 
         private void clear() {
@@ -193,8 +195,8 @@
 
         private static AttemptResult result(int number) {
             return switch (number) {
-                case Tds.READ_ONLY, Tds.BEHIND -> AttemptResult.INELIGIBLE_REPLICA;
-                case Tds.TURNED_AWAY, Tds.TOO_MANY -> AttemptResult.REJECTED_OVERLOADED;
+                case Tds.DATABASE_READ_ONLY, Tds.REPLICA_BEHIND -> AttemptResult.INELIGIBLE_REPLICA;
+                case Tds.RESOURCE_LIMIT_REACHED, Tds.TOO_MANY_CONNECTIONS -> AttemptResult.REJECTED_OVERLOADED;
                 default -> AttemptResult.ERROR;
             };
         }
@@ -202,11 +204,11 @@
 
     /** LOGIN7 with a user and no more. */
     private static byte[] login() {
-        int end = LOGIN_FIXED + 2 * USER.length();
+        int end = LOGIN_FIXED_BYTES + 2 * USER.length();
         TdsWriter out = new TdsWriter()
                 .int32(end)
                 .int32(Tds.VERSION)
-                .int32(Tds.PACKET_SIZE)
+                .int32(Tds.PACKET_BYTES)
                 .int32(0)
                 .int32(0)
                 .int32(0)
@@ -214,9 +216,11 @@
                 .int32(0)
                 .int32(0);
         for (int pair = 0; pair < LOGIN_PAIRS; pair++) {
-            out.int16(pair <= 1 ? LOGIN_FIXED : end).int16(pair == 1 ? USER.length() : 0);
+            out.int16(pair <= 1 ? LOGIN_FIXED_BYTES : end).int16(pair == 1 ? USER.length() : 0);
         }
-        return out.bytes(new byte[LOGIN_FIXED - LOGIN_PAIRS_END]).text(USER).packets(Tds.LOGIN7);
+        return out.bytes(new byte[LOGIN_FIXED_BYTES - LOGIN_PAIRS_END])
+                .text(USER)
+                .packets(Tds.LOGIN7);
     }
 
     @Override
@@ -224,12 +228,12 @@
         if (value instanceof DatabaseCommand.Hello) {
             return new TdsWriter().bytes(Tds.PRELOGIN_BODY).packets(Tds.PRELOGIN);
         }
-        String text = value instanceof DatabaseCommand.Run run ? run.text() : Tds.ASK_REPORT;
+        String text = value instanceof DatabaseCommand.Run run ? run.text() : Tds.REPORT_QUERY;
         // ALL_HEADERS with the transaction descriptor that every batch must have: no transaction.
         return new TdsWriter()
-                .int32(22)
-                .int32(18)
-                .int16(2)
+                .int32(ALL_HEADERS_BYTES)
+                .int32(TRANSACTION_HEADER_BYTES)
+                .int16(TRANSACTION_HEADER)
                 .int64(0)
                 .int32(1)
                 .text(text)
--- a/src/main/java/crankwick/tds/TdsDecoder.java
+++ b/src/main/java/crankwick/tds/TdsDecoder.java
@@ -9,8 +9,8 @@
 
 /** Puts packets together to messages, for both sides. */
 abstract class TdsDecoder extends CodecFilter.Decoder {
-    private static final int MAX_MESSAGE = 256 * 1024;
-    private static final int MAX_PACKET = 32 * 1024;
+    private static final int MAX_MESSAGE_BYTES = 256 * 1024;
+    private static final int MAX_PACKET_BYTES = 32 * 1024;
 
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
@@ -19,23 +19,23 @@
 
     @Override
     protected final boolean decode(ByteBuffer in, FilterChainContext context) {
-        if (in.remaining() < Tds.HEADER) {
+        if (in.remaining() < Tds.HEADER_BYTES) {
             return false;
         }
-        int type = in.get() & 0xFF;
+        int type = in.get() & Tds.BYTE_MASK;
         int status = in.get();
-        int length = in.getShort() & 0xFFFF;
+        int length = in.getShort() & Tds.SHORT_MASK;
         in.getInt();
-        if (length < Tds.HEADER || length > MAX_PACKET || body.size() + length > MAX_MESSAGE) {
+        if (length < Tds.HEADER_BYTES || length > MAX_PACKET_BYTES || body.size() + length > MAX_MESSAGE_BYTES) {
             throw new IllegalArgumentException("unusable length of a packet");
         }
-        if (in.remaining() < length - Tds.HEADER) {
+        if (in.remaining() < length - Tds.HEADER_BYTES) {
             return false;
         }
-        byte[] part = new byte[length - Tds.HEADER];
+        byte[] part = new byte[length - Tds.HEADER_BYTES];
         in.get(part);
         body.writeBytes(part);
-        if ((status & Tds.LAST) != 0) {
+        if ((status & Tds.END_OF_MESSAGE) != 0) {
             ByteBuffer message = ByteBuffer.wrap(body.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
             body.reset();
             if ((status & Tds.IGNORE) == 0) {
--- a/src/main/java/crankwick/tds/TdsEmulatorCodec.java
+++ b/src/main/java/crankwick/tds/TdsEmulatorCodec.java
@@ -6,28 +6,27 @@
 import crankwick.transport.CodecFilter;
 import java.nio.charset.StandardCharsets;
 
-/** A database's side of TDS, for emulated ones: reads as the front does. */
+/** A database's side of TDS, for emulated ones: reads as the listener does. */
 public final class TdsEmulatorCodec extends CodecFilter {
-    private static final int SEVERITY = 16;
-    private static final int ERROR_NUMBER = 8650;
+    private static final int QUERY_ERROR = 8650;
 
-    private final TdsClientCodec front = new TdsClientCodec();
+    private final TdsClientCodec clientCodec = new TdsClientCodec();
 
     @Override
     protected Decoder newDecoder() {
-        return front.newDecoder();
+        return clientCodec.newDecoder();
     }
 
     @Override
     public byte[] encode(Object value) {
         if (value instanceof ClientReply) {
-            return front.encode(value);
+            return clientCodec.encode(value);
         }
         DatabaseReply reply = (DatabaseReply) value;
         TdsWriter out = new TdsWriter();
-        out.message(Tds.INFO, Tds.FACT, 0, "mode=" + reply.mode());
-        out.message(Tds.INFO, Tds.FACT, 0, "wal_time=" + reply.millis());
-        out.message(Tds.INFO, Tds.FACT, 0, "stats=" + reply.stats());
+        out.message(Tds.INFO, Tds.FACT_INFO, 0, "mode=" + reply.mode());
+        out.message(Tds.INFO, Tds.FACT_INFO, 0, "wal_time=" + reply.millis());
+        out.message(Tds.INFO, Tds.FACT_INFO, 0, "stats=" + reply.stats());
         if (reply.result() == AttemptResult.OK && !reply.probe()) {
             byte[] row = reply.value().getBytes(StandardCharsets.ISO_8859_1);
             out.row(row);
@@ -37,13 +36,13 @@
         } else {
             int number =
                     switch (reply.result()) {
-                        case INELIGIBLE_REPLICA -> reply.write() ? Tds.READ_ONLY : Tds.BEHIND;
-                        case REJECTED_OVERLOADED -> Tds.TURNED_AWAY;
-                        default -> ERROR_NUMBER;
+                        case INELIGIBLE_REPLICA -> reply.write() ? Tds.DATABASE_READ_ONLY : Tds.REPLICA_BEHIND;
+                        case REJECTED_OVERLOADED -> Tds.RESOURCE_LIMIT_REACHED;
+                        default -> QUERY_ERROR;
                     };
-            out.message(Tds.ERROR, number, SEVERITY, "emulated " + reply.result())
+            out.message(Tds.ERROR, number, Tds.ERROR_SEVERITY, "emulated " + reply.result())
                     .done(Tds.DONE_ERROR, 0);
         }
-        return out.packets(Tds.RESPONSE);
+        return out.packets(Tds.TABULAR_RESULT);
     }
 }
--- a/src/main/java/crankwick/tds/TdsWriter.java
+++ b/src/main/java/crankwick/tds/TdsWriter.java
@@ -6,7 +6,13 @@
 /** Builds a TDS message: little-endian fields and tokens, then packets with their headers. */
 final class TdsWriter {
     private static final int CHUNKS_END = 0;
-    private final ByteArrayOutputStream out = new ByteArrayOutputStream(256);
+    private static final int NULL_LENGTH = -1;
+    private static final int INITIAL_BYTES = 256;
+    private static final int INITIAL_HEADERS_BYTES = 64;
+    private static final int BYTE_BITS = 8;
+    private static final int SHORT_BITS = 16;
+
+    private final ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
 
     TdsWriter int8(int value) {
         out.write(value);
@@ -14,15 +20,15 @@
     }
 
     TdsWriter int16(int value) {
-        return int8(value).int8(value >> 8);
+        return int8(value).int8(value >> BYTE_BITS);
     }
 
     TdsWriter int32(int value) {
-        return int16(value).int16(value >> 16);
+        return int16(value).int16(value >> SHORT_BITS);
     }
 
     TdsWriter int64(long value) {
-        return int32((int) value).int32((int) (value >> 32));
+        return int32((int) value).int32((int) (value >> Integer.SIZE));
     }
 
     TdsWriter bytes(byte[] value) {
@@ -63,8 +69,8 @@
 
     /** COLMETADATA and ROW of one varbinary(max): its length (-1 for NULL), at most one chunk, the end. */
     TdsWriter row(byte[] value) {
-        int8(Tds.COLMETADATA).int16(1).int32(0).int16(1).int8(Tds.VARBINARY).int16(Tds.MAX);
-        shortText("val").int8(Tds.ROW).int64(value == null ? -1 : value.length);
+        int8(Tds.COLMETADATA).int16(1).int32(0).int16(1).int8(Tds.VARBINARY).int16(Tds.VARBINARY_MAX);
+        shortText("val").int8(Tds.ROW).int64(value == null ? NULL_LENGTH : value.length);
         if (value == null) {
             return this;
         }
@@ -82,15 +88,15 @@
     /** The message in packets of the type. */
     byte[] packets(int type) {
         byte[] body = out.toByteArray();
-        ByteArrayOutputStream packets = new ByteArrayOutputStream(body.length + 64);
+        ByteArrayOutputStream packets = new ByteArrayOutputStream(body.length + INITIAL_HEADERS_BYTES);
         int from = 0;
         int number = 1;
         do {
-            int length = Math.min(body.length - from, Tds.PACKET_SIZE - Tds.HEADER);
-            int total = length + Tds.HEADER;
+            int length = Math.min(body.length - from, Tds.PACKET_BYTES - Tds.HEADER_BYTES);
+            int total = length + Tds.HEADER_BYTES;
             packets.write(type);
-            packets.write(from + length == body.length ? Tds.LAST : 0);
-            packets.write(total >> 8);
+            packets.write(from + length == body.length ? Tds.END_OF_MESSAGE : 0);
+            packets.write(total >> BYTE_BITS);
             packets.write(total);
             packets.write(0);
             packets.write(0);
