--- a/src/main/java/crankwick/routing/EndpointGroup.java
+++ b/src/main/java/crankwick/routing/EndpointGroup.java
@@ -3,7 +3,6 @@
 import crankwick.routing.api.Role;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -62,7 +61,8 @@
 
     void add(EndpointState endpoint) {
         endpoints.add(endpoint);
-        endpoints.sort(Comparator.comparing(EndpointState::id));
+        // No Comparator.comparing: its classes are spun at run time, which a start would pay for.
+        endpoints.sort((a, b) -> a.id().compareTo(b.id()));
     }
 
     void removeExpired(long now) {
