--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -109,7 +109,7 @@
         loop.execute(() -> {
             new StartupWarmup(settings, protocol.clientCodec(), protocol.databaseCodec()).run();
             discovery = discoveryFactory.apply(loop, clock);
-            runner.attach(listener, pool);
+            runner.attachExecutors(listener, pool);
             onEndpointsUpdated(known);
             discovery.start();
             loop.after(COUNTERS_INTERVAL_MICROS, this::logCounters);
@@ -119,7 +119,7 @@
 
     /** Takes an update of the endpoint list over, on the event loop. */
     void onEndpointsUpdated(Discovery.ListUpdate update) {
-        runner.listed(update);
+        runner.updateEndpoints(update);
         if (!update.discovered().isEmpty()) {
             listener.ready();
         }
--- a/src/main/java/crankwick/app/StartupWarmup.java
+++ b/src/main/java/crankwick/app/StartupWarmup.java
@@ -66,7 +66,7 @@
                     + ",d=480,cluster=0,k=5c0f6e1a2b3d4c59,after="
                     + (now / MICROS_PER_MILLI - REQUIRED_POSITION_AGE_MILLIS)
                     + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'");
-            databaseCodec.encode(new DatabaseCommand.Run(statement.withTimeout(ATTEMPT_TIMEOUT_MILLIS)));
+            databaseCodec.encode(new DatabaseCommand.Execute(statement.withTimeout(ATTEMPT_TIMEOUT_MILLIS)));
             handle(new BrokerEvent.RequestReceived(new ClientRequest(
                     i,
                     Integer.toString(i),
@@ -90,7 +90,7 @@
                 dueEvents.add(new BrokerEvent.AttemptWritten(send.requestId(), send.attempt()));
                 dueEvents.add(attemptEnded(send));
             } else if (effect instanceof Effect.SendReply reply) {
-                clientCodec.encode(new ClientReply.Final(reply.reply()));
+                clientCodec.encode(new ClientReply.RequestReply(reply.reply()));
             } else if (effect instanceof Effect.CheckHealth check) {
                 dueEvents.add(new BrokerEvent.HealthCheckEnded(
                         check.endpointId(), AttemptResult.OK, STEP_MICROS, report(check.endpointId())));
--- a/src/main/java/crankwick/client/AcceptLimiter.java
+++ b/src/main/java/crankwick/client/AcceptLimiter.java
@@ -43,7 +43,7 @@
     private void toggleAccepting() {
         if (full != connections > maxConnections) {
             full = !full;
-            Transport.toggle(listener, IOEvent.SERVER_ACCEPT, !full);
+            Transport.setInterest(listener, IOEvent.SERVER_ACCEPT, !full);
         }
     }
 }
--- a/src/main/java/crankwick/client/ByteBudget.java
+++ b/src/main/java/crankwick/client/ByteBudget.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** How many bytes of one kind the connections of a front may keep together; safe on any thread. */
+/** The bytes of one kind that the connections of a listener may hold together; thread-safe. */
 final class ByteBudget {
     private final long maxBytes;
     private final AtomicLong reserved = new AtomicLong();
@@ -11,12 +11,12 @@
         this.maxBytes = maxBytes;
     }
 
-    /** What a single connection may keep at most. */
-    long maxOfOne() {
+    /** The bytes that a single connection may hold. */
+    long maxPerConnection() {
         return maxBytes / 2;
     }
 
-    /** Reserves room, to be given back with {@link #release}; false if there is not enough. */
+    /** Reserves bytes, to be given back with {@link #release}; false if they exceed the budget. */
     boolean reserve(long bytes) {
         if (reserved.addAndGet(bytes) <= maxBytes) {
             return true;
@@ -25,8 +25,8 @@
         return false;
     }
 
-    /** Reserves room whether or not it is there. */
-    void force(long bytes) {
+    /** Reserves bytes even if they exceed the budget. */
+    void reserveUnchecked(long bytes) {
         reserved.addAndGet(bytes);
     }
 
--- a/src/main/java/crankwick/client/ClientListener.java
+++ b/src/main/java/crankwick/client/ClientListener.java
@@ -144,7 +144,9 @@
         session.idleSinceMicros = clock.now();
         if (!sessions.add(session)) {
             counters.countRejected();
-            writer.endNow(session, new ClientReply.Fatal(ClientReply.Cause.TOO_MANY, "too many connections"));
+            writer.endNow(
+                    session,
+                    new ClientReply.ConnectionError(ClientReply.Cause.TOO_MANY_CONNECTIONS, "too many connections"));
         }
     }
 
--- a/src/main/java/crankwick/client/ClientMessage.java
+++ b/src/main/java/crankwick/client/ClientMessage.java
@@ -1,16 +1,16 @@
 package crankwick.client;
 
-/** What a client says, whatever its wire. */
+/** A message from a client, of any protocol. */
 public sealed interface ClientMessage {
-    /** How many bytes of it are kept until it is answered. */
+    /** The bytes of it that are retained until it is answered. */
     default int bytes() {
         return 0;
     }
 
-    /** It logs in for a team. */
+    /** A login for a team. */
     record Login(String team) implements ClientMessage {}
 
-    /** One statement. */
+    /** A statement. */
     record Query(String text) implements ClientMessage {
         @Override
         public int bytes() {
@@ -18,18 +18,18 @@
         }
     }
 
-    /** The empty query: is the proxy ready? */
-    record Empty() implements ClientMessage {}
+    /** The empty query, by which the platform checks readiness. */
+    record EmptyQuery() implements ClientMessage {}
 
-    /** A command that came in while too much of its client was open: its text has been dropped. */
-    record Excess() implements ClientMessage {}
+    /** A command beyond what its client may have open; its text has been dropped. */
+    record OverLimit() implements ClientMessage {}
 
-    /** It no longer wants the answer to what it sent last. */
-    record Attention() implements ClientMessage {}
+    /** The client cancels what it has sent and not been answered (an attention on TDS). */
+    record Cancel() implements ClientMessage {}
 
-    /** It ends the connection. */
-    record Quit() implements ClientMessage {}
+    /** The client ends the connection. */
+    record Terminate() implements ClientMessage {}
 
-    /** What came in breaks the protocol; nothing after it can be trusted. */
-    record Broken(String fault) implements ClientMessage {}
+    /** Malformed input; nothing after it is decoded. */
+    record ProtocolError(String fault) implements ClientMessage {}
 }
--- a/src/main/java/crankwick/client/ClientReply.java
+++ b/src/main/java/crankwick/client/ClientReply.java
@@ -2,40 +2,40 @@
 
 import crankwick.broker.Reply;
 
-/** What a client is told, whatever its wire. */
+/** A reply to a client, for any protocol to encode. */
 public sealed interface ClientReply {
-    /** How many bytes the value takes that it carries; 0 for none. */
+    /** The bytes of the value that it carries; 0 for none. */
     default int valueBytes() {
         return 0;
     }
 
-    /** Why a connection ends. */
+    /** Why the proxy ends a connection. */
     enum Cause {
-        TOO_MANY,
+        TOO_MANY_CONNECTIONS,
         UNKNOWN_TEAM,
-        BROKEN
+        PROTOCOL_ERROR
     }
 
     /** The login is accepted. */
-    record Welcome() implements ClientReply {}
+    record LoginAccepted() implements ClientReply {}
 
-    /** The answer to the empty query. */
-    record Nothing() implements ClientReply {}
+    /** The reply to the empty query. */
+    record EmptyQueryResponse() implements ClientReply {}
 
-    /** A request's final answer. */
-    record Final(Reply reply) implements ClientReply {
+    /** A request's final reply. */
+    record RequestReply(Reply reply) implements ClientReply {
         @Override
         public int valueBytes() {
             return reply instanceof Reply.Served served && served.value() != null ? served.value().length : 0;
         }
     }
 
-    /** A statement that can't be read; the connection goes on. */
-    record Unreadable(String fault) implements ClientReply {}
+    /** A statement was invalid; the connection stays. */
+    record InvalidStatement(String fault) implements ClientReply {}
 
-    /** The attention has been heard, and what it withdrew is over. */
-    record AttentionHeard() implements ClientReply {}
+    /** A cancel has been received, and what it cancelled is over. */
+    record CancelAcknowledged() implements ClientReply {}
 
     /** The connection ends after this. */
-    record Fatal(Cause cause, String fault) implements ClientReply {}
+    record ConnectionError(Cause cause, String fault) implements ClientReply {}
 }
--- a/src/main/java/crankwick/client/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -17,7 +17,7 @@
  * reached through synchronized methods.
  *
  * <p>However much a client has open, reading from it goes on: only reading tells that it has closed or
- * cancelled. What it sends beyond the limits is taken in as {@link ClientMessage.Excess}, without its text.
+ * cancelled. What it sends beyond the limits is taken in as {@link ClientMessage.OverLimit}, without its text.
  */
 final class ClientSession {
     private static final Logger LOG = LoggerFactory.getLogger(ClientSession.class);
@@ -96,7 +96,7 @@
         List<ClientMessage> admitted = new ArrayList<>(messages.size());
         for (ClientMessage message : messages) {
             messagesRead++;
-            if (message instanceof ClientMessage.Attention) {
+            if (message instanceof ClientMessage.Cancel) {
                 cancelledTo = messagesRead;
             }
             admitted.add(admit(message));
@@ -112,7 +112,7 @@
     }
 
     private ClientMessage admit(ClientMessage message) {
-        if (!(message instanceof ClientMessage.Query || message instanceof ClientMessage.Empty)) {
+        if (!(message instanceof ClientMessage.Query || message instanceof ClientMessage.EmptyQuery)) {
             return message;
         }
         int bytes = message.bytes();
@@ -121,7 +121,7 @@
                 && statementBudget.reserve(bytes);
         if (!fits) {
             counters.countOverLimitCommand();
-            return new ClientMessage.Excess();
+            return new ClientMessage.OverLimit();
         }
         openCommands++;
         openStatementBytes += bytes;
@@ -142,7 +142,7 @@
     /** So many messages in a row like this one have their replies written, or are owed none. */
     synchronized void onAnswered(ClientMessage message, long times) {
         unanswered -= times;
-        if (message instanceof ClientMessage.Query || message instanceof ClientMessage.Empty) {
+        if (message instanceof ClientMessage.Query || message instanceof ClientMessage.EmptyQuery) {
             openCommands--;
             release(message.bytes());
         }
@@ -160,7 +160,7 @@
         if (closed) {
             return true;
         }
-        boolean fits = replyBytes + bytes <= replyBudget.maxOfOne() && replyBudget.reserve(bytes);
+        boolean fits = replyBytes + bytes <= replyBudget.maxPerConnection() && replyBudget.reserve(bytes);
         replyBytes += fits ? bytes : 0;
         return fits;
     }
@@ -168,7 +168,7 @@
     /** The same for a reply that must not be dropped. */
     synchronized void forceReserveReply(long bytes) {
         if (!closed) {
-            replyBudget.force(bytes);
+            replyBudget.reserveUnchecked(bytes);
             replyBytes += bytes;
         }
     }
@@ -195,7 +195,7 @@
     }
 
     private void toggleReading(boolean wanted) {
-        Transport.toggle(connection, IOEvent.READ, wanted);
+        Transport.setInterest(connection, IOEvent.READ, wanted);
     }
 
     /** The client has closed its connection, or it has been ended. On the selector thread. */
@@ -221,7 +221,7 @@
      */
     void closeUnlessBusy(CodecFilter codec, Runnable whenBusy) {
         Transport.afterReading(connection, () -> {
-            if (isOwedReply() || !isReadingStopped() && codec.hasPartOfAValue(connection)) {
+            if (isOwedReply() || !isReadingStopped() && codec.hasIncompleteMessage(connection)) {
                 whenBusy.run();
             } else {
                 connection.terminateSilently();
--- a/src/main/java/crankwick/client/CommandAdmission.java
+++ b/src/main/java/crankwick/client/CommandAdmission.java
@@ -54,7 +54,7 @@
         for (ClientSession session : sessions.snapshot()) {
             for (ClientCommand command : session.commands) {
                 if (command.statement() == null && command.reply == null) {
-                    command.reply = new ClientReply.Nothing();
+                    command.reply = new ClientReply.EmptyQueryResponse();
                 }
             }
             writer.flush(session);
@@ -74,20 +74,20 @@
         } else if (message instanceof ClientMessage.Query query) {
             session.hasSentCommand = true;
             onQuery(session, query, number, readAt);
-        } else if (message instanceof ClientMessage.Empty) {
+        } else if (message instanceof ClientMessage.EmptyQuery) {
             session.hasSentCommand = true;
             add(new ClientCommand(session, requests.nextId(), null, message, number, readAt), emptyQueryReply());
-        } else if (message instanceof ClientMessage.Excess) {
+        } else if (message instanceof ClientMessage.OverLimit) {
             onOverLimit(session, message, number, readAt);
         } else if (message instanceof ClientMessage.Login login) {
             onLogin(session, login, number, readAt);
-        } else if (message instanceof ClientMessage.Attention) {
+        } else if (message instanceof ClientMessage.Cancel) {
             requests.abandon(session, AbandonReason.CANCELLED);
             ClientCommand command = new ClientCommand(session, requests.nextId(), null, message, number, readAt);
-            add(command, new ClientReply.AttentionHeard());
-        } else if (message instanceof ClientMessage.Broken error) {
+            add(command, new ClientReply.CancelAcknowledged());
+        } else if (message instanceof ClientMessage.ProtocolError error) {
             LOG.debug("client {}: {}", session.connection.getPeerAddress(), error.fault());
-            writer.endWithError(session, ClientReply.Cause.BROKEN, error.fault());
+            writer.endWithError(session, ClientReply.Cause.PROTOCOL_ERROR, error.fault());
         } else {
             session.ending = true;
             session.onAnswered(message, 1);
@@ -96,14 +96,14 @@
     }
 
     private ClientReply emptyQueryReply() {
-        return ready ? new ClientReply.Nothing() : null;
+        return ready ? new ClientReply.EmptyQueryResponse() : null;
     }
 
     private void onLogin(ClientSession session, ClientMessage.Login login, long number, long readAt) {
         if (knownTeam.test(login.team())) {
             session.team = login.team();
             ClientCommand command = new ClientCommand(session, requests.nextId(), null, login, number, readAt);
-            add(command, new ClientReply.Welcome());
+            add(command, new ClientReply.LoginAccepted());
         } else {
             writer.endWithError(session, ClientReply.Cause.UNKNOWN_TEAM, "unknown team");
         }
@@ -115,7 +115,7 @@
             statement = decoder.decode(query.text());
         } catch (IllegalArgumentException e) {
             ClientCommand invalid = new ClientCommand(session, requests.nextId(), null, query, number, readAt);
-            add(invalid, new ClientReply.Unreadable(e.getMessage()));
+            add(invalid, new ClientReply.InvalidStatement(e.getMessage()));
             return;
         }
         ClientCommand command = new ClientCommand(session, requests.nextId(), statement, query, number, readAt);
@@ -130,12 +130,12 @@
     /** Commands in a row beyond the limits share one place, so that what is kept of them stays bounded. */
     private void onOverLimit(ClientSession session, ClientMessage message, long number, long readAt) {
         ClientCommand last = session.commands.peekLast();
-        if (last != null && last.message instanceof ClientMessage.Excess) {
+        if (last != null && last.message instanceof ClientMessage.OverLimit) {
             last.repeatCount++;
             writer.flush(session);
         } else {
             ClientCommand command = new ClientCommand(session, requests.nextId(), null, message, number, readAt);
-            add(command, new ClientReply.Final(overLimitReply));
+            add(command, new ClientReply.RequestReply(overLimitReply));
         }
     }
 
--- a/src/main/java/crankwick/client/IdleSweeper.java
+++ b/src/main/java/crankwick/client/IdleSweeper.java
@@ -49,7 +49,7 @@
     private void check(ClientSession session, long now, long idleTimeout) {
         if (isOverdue(session, now)) {
             session.connection.terminateSilently();
-        } else if (!session.ending && codec.stalled(session.connection, COMMAND_STALL_TIMEOUT_MICROS)) {
+        } else if (!session.ending && codec.isStalled(session.connection, COMMAND_STALL_TIMEOUT_MICROS)) {
             codec.ifStillStalled(
                     session.connection, COMMAND_STALL_TIMEOUT_MICROS, () -> loop.execute(() -> endStalled(session)));
         } else if (!session.ending && session.isIdle()) {
@@ -65,7 +65,7 @@
 
     private void endStalled(ClientSession session) {
         if (!session.ending && sessions.contains(session)) {
-            writer.endWithError(session, ClientReply.Cause.BROKEN, "a command without its end");
+            writer.endWithError(session, ClientReply.Cause.PROTOCOL_ERROR, "a command without its end");
         }
     }
 
@@ -75,7 +75,7 @@
         } else if (!session.hasSentCommand
                 && session.idleSinceMicros < now - FIRST_COMMAND_TIMEOUT_MICROS
                 && !session.isOwedReply()) {
-            writer.endWithError(session, ClientReply.Cause.BROKEN, "no command in time");
+            writer.endWithError(session, ClientReply.Cause.PROTOCOL_ERROR, "no command in time");
         }
     }
 }
--- a/src/main/java/crankwick/client/OrderedReplyWriter.java
+++ b/src/main/java/crankwick/client/OrderedReplyWriter.java
@@ -69,11 +69,11 @@
     }
 
     private ClientReply reserved(ClientSession session, Reply reply) {
-        ClientReply complete = new ClientReply.Final(reply);
+        ClientReply complete = new ClientReply.RequestReply(reply);
         if (!session.reserveReply(complete.valueBytes())) {
             if (reply instanceof Reply.Served served && !served.write()) {
                 counters.countDroppedReply();
-                return new ClientReply.Final(overLimitReply);
+                return new ClientReply.RequestReply(overLimitReply);
             }
             session.forceReserveReply(complete.valueBytes());
         }
@@ -85,7 +85,7 @@
         counters.countProtocolError();
         session.ending = true;
         ClientCommand error = new ClientCommand(session, requests.nextId(), null, null, 0, 0);
-        error.reply = new ClientReply.Fatal(cause, fault);
+        error.reply = new ClientReply.ConnectionError(cause, fault);
         session.commands.add(error);
         flush(session);
     }
@@ -107,7 +107,7 @@
                 session.commands.poll();
             }
             session.idleSinceMicros = clock.now();
-            if (command.reply instanceof ClientReply.Fatal) {
+            if (command.reply instanceof ClientReply.ConnectionError) {
                 endNow(session, command.reply);
             } else {
                 write(session, command);
--- a/src/main/java/crankwick/database/AttemptExchange.java
+++ b/src/main/java/crankwick/database/AttemptExchange.java
@@ -34,7 +34,8 @@
     @Override
     DatabaseCommand command() {
         long timeoutMicros = attempt.expiresAt() - context.clock().now();
-        return new DatabaseCommand.Run(source.statement().withTimeout(Math.max(1, timeoutMicros / MICROS_PER_MILLI)));
+        return new DatabaseCommand.Execute(
+                source.statement().withTimeout(Math.max(1, timeoutMicros / MICROS_PER_MILLI)));
     }
 
     @Override
@@ -56,7 +57,7 @@
     }
 
     @Override
-    void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Answered response) {
+    void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Response response) {
         activeAttempts.remove(attempt.requestId());
         context.broker()
                 .publish(response == null ? ended(result, durationMicros) : ended(result, durationMicros, response));
@@ -74,7 +75,7 @@
                 null);
     }
 
-    private BrokerEvent ended(AttemptResult result, long durationMicros, DatabaseMessage.Answered response) {
+    private BrokerEvent ended(AttemptResult result, long durationMicros, DatabaseMessage.Response response) {
         return new BrokerEvent.AttemptEnded(
                 attempt.requestId(),
                 attempt.attempt(),
--- a/src/main/java/crankwick/database/DatabaseCommand.java
+++ b/src/main/java/crankwick/database/DatabaseCommand.java
@@ -1,13 +1,13 @@
 package crankwick.database;
 
-/** What a database is asked, whatever its wire. */
+/** A command to a database, for any protocol to encode. */
 public sealed interface DatabaseCommand {
-    /** The first words on a new connection. */
-    record Hello() implements DatabaseCommand {}
+    /** The first message on a new connection. */
+    record Handshake() implements DatabaseCommand {}
 
     /** Runs a statement. */
-    record Run(String text) implements DatabaseCommand {}
+    record Execute(String text) implements DatabaseCommand {}
 
-    /** Asks for the load report: a probe. */
-    record AskReport() implements DatabaseCommand {}
+    /** Asks for the load report: a health check. */
+    record RequestLoadReport() implements DatabaseCommand {}
 }
--- a/src/main/java/crankwick/database/DatabaseMessage.java
+++ b/src/main/java/crankwick/database/DatabaseMessage.java
@@ -4,15 +4,16 @@
 import crankwick.routing.api.LoadReport;
 import crankwick.routing.api.Role;
 
-/** What a database says, whatever its wire. */
+/** A message from a database, of any protocol. */
 public sealed interface DatabaseMessage {
-    /** The connection is up and takes statements. */
-    record Greeted() implements DatabaseMessage {}
+    /** The handshake is over: the connection takes statements. */
+    record ConnectionReady() implements DatabaseMessage {}
 
-    /** The whole answer to a command; {@code last} if the database ends the connection after it. */
-    record Answered(AttemptResult result, Role role, long position, LoadReport report, byte[] value, boolean last)
+    /** The complete response to a command; {@code closesConnection} if the database ends the connection after it. */
+    record Response(
+            AttemptResult result, Role role, long position, LoadReport report, byte[] value, boolean closesConnection)
             implements DatabaseMessage {}
 
-    /** What came in breaks the protocol. */
-    record Broken(String fault) implements DatabaseMessage {}
+    /** Malformed input; the connection is to be closed. */
+    record ProtocolError(String fault) implements DatabaseMessage {}
 }
--- a/src/main/java/crankwick/database/Exchange.java
+++ b/src/main/java/crankwick/database/Exchange.java
@@ -33,7 +33,7 @@
     abstract void onWritten();
 
     /** The exchange has ended; {@code response} is null where there is none. */
-    abstract void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Answered response);
+    abstract void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Response response);
 
     final String endpointId() {
         return endpointId;
@@ -49,7 +49,7 @@
         detached = true;
     }
 
-    final void end(AttemptResult result, DatabaseMessage.Answered response) {
+    final void end(AttemptResult result, DatabaseMessage.Response response) {
         if (!detached) {
             detached = true;
             onEnded(result, clock.now() - startedAtMicros, response);
--- a/src/main/java/crankwick/database/HealthCheckExchange.java
+++ b/src/main/java/crankwick/database/HealthCheckExchange.java
@@ -14,7 +14,7 @@
 
     @Override
     DatabaseCommand command() {
-        return new DatabaseCommand.AskReport();
+        return new DatabaseCommand.RequestLoadReport();
     }
 
     @Override
@@ -33,7 +33,7 @@
     }
 
     @Override
-    void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Answered response) {
+    void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Response response) {
         context.broker()
                 .publish(new BrokerEvent.HealthCheckEnded(
                         endpointId(), result, durationMicros, response == null ? null : response.report()));
--- a/src/main/java/crankwick/database/LoadReportCodec.java
+++ b/src/main/java/crankwick/database/LoadReportCodec.java
@@ -18,7 +18,7 @@
     public static LoadReport parse(String text) {
         long position = AbsentValue.NONE;
         Role role = Role.UNKNOWN;
-        double backlog = Double.NaN;
+        double queueLength = Double.NaN;
         double utilization = Double.NaN;
         double inFlight = Double.NaN;
         for (String part : text.split(",", -1)) {
@@ -30,13 +30,13 @@
             switch (part.substring(0, equals)) {
                 case "x0" -> position = (long) (value * 1e6);
                 case "x1" -> role = value == 1 ? Role.PRIMARY : Role.REPLICA;
-                case "backlog", "queue" -> backlog = value;
+                case "backlog", "queue" -> queueLength = value;
                 case "utilization", "util" -> utilization = value;
                 case "outstanding", "inflight" -> inFlight = value;
                 default -> {}
             }
         }
-        return new LoadReport(position, role, backlog, utilization, inFlight);
+        return new LoadReport(position, role, queueLength, utilization, inFlight);
     }
 
     /** A log position in Unix milliseconds as microseconds; NONE if the text is none. */
--- a/src/main/java/crankwick/database/PooledConnection.java
+++ b/src/main/java/crankwick/database/PooledConnection.java
@@ -197,11 +197,11 @@
     }
 
     private void onMessage(DatabaseMessage message) {
-        if (message instanceof DatabaseMessage.Greeted) {
+        if (message instanceof DatabaseMessage.ConnectionReady) {
             onGreeted();
-        } else if (message instanceof DatabaseMessage.Answered response) {
+        } else if (message instanceof DatabaseMessage.Response response) {
             onResponse(response);
-        } else if (message instanceof DatabaseMessage.Broken broken) {
+        } else if (message instanceof DatabaseMessage.ProtocolError broken) {
             onProtocolError(broken.fault());
         }
     }
@@ -216,7 +216,7 @@
         }
     }
 
-    private void onResponse(DatabaseMessage.Answered response) {
+    private void onResponse(DatabaseMessage.Response response) {
         if (!greeted) {
             // Rejected before the greeting: the exchange's command has not been written.
             boolean overloaded = response.result() == AttemptResult.REJECTED_OVERLOADED;
@@ -226,7 +226,7 @@
         } else {
             Exchange done = exchange;
             exchange = null;
-            if (response.last()) {
+            if (response.closesConnection()) {
                 discard(AttemptResult.RESET);
             } else {
                 owner.release(this);
@@ -245,7 +245,7 @@
 
     /** Ends the connection if a response that has begun does not end. */
     void checkStalledResponse() {
-        if (!discarded && context.codec().stalled(socket, RESPONSE_STALL_TIMEOUT_MICROS)) {
+        if (!discarded && context.codec().isStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS)) {
             context.codec().ifStillStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS, () -> context.loop()
                     .execute(this::onResponseStalled));
         }
@@ -342,7 +342,7 @@
         public void completed(Connection<SocketAddress> connected) {
             connection.context.loop().execute(() -> connection.onConnected(connected));
             // A late loop must not pass for a database that is slow to greet; the loop knows the socket by then.
-            connected.write(new DatabaseCommand.Hello());
+            connected.write(new DatabaseCommand.Handshake());
         }
 
         @Override
--- a/src/main/java/crankwick/emulator/MemberConnections.java
+++ b/src/main/java/crankwick/emulator/MemberConnections.java
@@ -2,7 +2,7 @@
 
 import crankwick.client.ClientMessage;
 import crankwick.client.ClientReply;
-import crankwick.database.DatabaseReply;
+import crankwick.database.EmulatedResponse;
 import crankwick.model.ModelEffect;
 import crankwick.model.ModelEvent;
 import crankwick.statement.Statement;
@@ -74,7 +74,7 @@
 
     private void welcome(EmulatedConnection connection) {
         connection.setLoginPending(false);
-        connection.connection().write(new ClientReply.Welcome());
+        connection.connection().write(new ClientReply.LoginAccepted());
     }
 
     private void onQuery(EmulatedConnection connection, String text) {
@@ -139,7 +139,7 @@
         byRequest.remove(connection.requestId(), connection);
         connection
                 .connection()
-                .write(new DatabaseReply(
+                .write(new EmulatedResponse(
                         answer.result(),
                         answer.role(),
                         answer.position(),
--- a/src/main/java/crankwick/pg/PgClientCodec.java
+++ b/src/main/java/crankwick/pg/PgClientCodec.java
@@ -46,9 +46,9 @@
             int code = in.getInt();
             in.position(in.position() + length - STARTUP_HEADER_BYTES);
             if (code == SSL_REQUEST || code == GSS_REQUEST) {
-                answer(context, new byte[] {PgProtocol.ENCRYPTION_REJECTED});
+                respond(context, new byte[] {PgProtocol.ENCRYPTION_REJECTED});
             } else if (code == CANCEL_REQUEST) {
-                emit(new ClientMessage.Quit());
+                emit(new ClientMessage.Terminate());
             } else {
                 require(
                         code >> PgProtocol.VERSION_MAJOR_SHIFT
@@ -74,23 +74,23 @@
             byte[] body = new byte[length - PgProtocol.LENGTH_BYTES];
             in.get(body);
             if (type == PgProtocol.TERMINATE) {
-                emit(new ClientMessage.Quit());
+                emit(new ClientMessage.Terminate());
                 return true;
             }
             require(body.length > 0 && body[body.length - 1] == 0, "a query without its end");
             String text = new String(body, 0, body.length - 1, PgWriter.CHARSET);
-            emit(text.isBlank() ? new ClientMessage.Empty() : new ClientMessage.Query(text));
+            emit(text.isBlank() ? new ClientMessage.EmptyQuery() : new ClientMessage.Query(text));
             return true;
         }
 
         @Override
-        protected int begun() {
+        protected int partialBytes() {
             return 0;
         }
 
         @Override
-        protected Object brokenBy(String fault) {
-            return new ClientMessage.Broken(fault);
+        protected Object protocolError(String fault) {
+            return new ClientMessage.ProtocolError(fault);
         }
 
         private static void require(boolean holds, String fault) {
@@ -103,20 +103,20 @@
     @Override
     public byte[] encode(Object value) {
         PgWriter out = new PgWriter();
-        if (value instanceof ClientReply.Final f) {
+        if (value instanceof ClientReply.RequestReply f) {
             writeReply(out, f.reply());
-        } else if (value instanceof ClientReply.Nothing) {
+        } else if (value instanceof ClientReply.EmptyQueryResponse) {
             out.end(PgProtocol.EMPTY_QUERY_RESPONSE);
-        } else if (value instanceof ClientReply.Unreadable u) {
+        } else if (value instanceof ClientReply.InvalidStatement u) {
             writeError(out, PgProtocol.SEVERITY_ERROR, PgProtocol.SYNTAX_ERROR, u.fault(), null);
-        } else if (value instanceof ClientReply.Fatal f) {
+        } else if (value instanceof ClientReply.ConnectionError f) {
             writeError(
                     out,
                     PgProtocol.SEVERITY_FATAL,
                     switch (f.cause()) {
-                        case TOO_MANY -> PgProtocol.TOO_MANY_CONNECTIONS;
+                        case TOO_MANY_CONNECTIONS -> PgProtocol.TOO_MANY_CONNECTIONS;
                         case UNKNOWN_TEAM -> PgProtocol.INVALID_AUTHORIZATION;
-                        case BROKEN -> PgProtocol.PROTOCOL_VIOLATION;
+                        case PROTOCOL_ERROR -> PgProtocol.PROTOCOL_VIOLATION;
                     },
                     f.fault(),
                     null);
--- a/src/main/java/crankwick/pg/PgDatabaseCodec.java
+++ b/src/main/java/crankwick/pg/PgDatabaseCodec.java
@@ -38,7 +38,7 @@
         private boolean greeted;
         private boolean healthCheck;
         private Stage stage = Stage.NOTHING;
-        private boolean begun;
+        private boolean partialBytes;
         private String error;
         private byte[] value;
         private Role role = Role.UNKNOWN;
@@ -46,9 +46,9 @@
         private LoadReport report;
 
         @Override
-        protected void asked(Object command) {
-            super.asked(command);
-            healthCheck = command instanceof DatabaseCommand.AskReport;
+        protected void onCommand(Object command) {
+            super.onCommand(command);
+            healthCheck = command instanceof DatabaseCommand.RequestLoadReport;
         }
 
         @Override
@@ -64,7 +64,7 @@
             }
             byte[] body = new byte[length - PgProtocol.LENGTH_BYTES];
             in.get(body);
-            begun = true;
+            partialBytes = true;
             ByteBuffer fields = ByteBuffer.wrap(body);
             take(type, fields);
             require(!fields.hasRemaining(), "more than its fields in " + type);
@@ -108,7 +108,7 @@
                     } else {
                         greeted = true;
                         clear();
-                        emitLast(new DatabaseMessage.Greeted());
+                        emitLast(new DatabaseMessage.ConnectionReady());
                     }
                 }
                 default -> throw new IllegalArgumentException("an unknown message");
@@ -162,13 +162,13 @@
                 report = LoadReportCodec.parse(new String(value, PgWriter.CHARSET));
             }
             AttemptResult result = error != null ? result(error) : AttemptResult.OK;
-            var answer = new DatabaseMessage.Answered(result, role, position, report, value, last);
+            var answer = new DatabaseMessage.Response(result, role, position, report, value, last);
             clear();
             emitLast(answer);
         }
 
         private void clear() {
-            begun = false;
+            partialBytes = false;
             stage = Stage.NOTHING;
             error = null;
             value = null;
@@ -178,13 +178,13 @@
         }
 
         @Override
-        protected int begun() {
-            return !begun ? 0 : value == null ? 1 : value.length + 1;
+        protected int partialBytes() {
+            return !partialBytes ? 0 : value == null ? 1 : value.length + 1;
         }
 
         @Override
-        protected Object brokenBy(String fault) {
-            return new DatabaseMessage.Broken(fault);
+        protected Object protocolError(String fault) {
+            return new DatabaseMessage.ProtocolError(fault);
         }
 
         private static AttemptResult result(String code) {
@@ -214,10 +214,10 @@
     @Override
     public byte[] encode(Object value) {
         PgWriter out = new PgWriter();
-        if (value instanceof DatabaseCommand.Run run) {
+        if (value instanceof DatabaseCommand.Execute run) {
             return out.text(run.text()).end(PgProtocol.QUERY).toBytes();
         }
-        if (value instanceof DatabaseCommand.AskReport) {
+        if (value instanceof DatabaseCommand.RequestLoadReport) {
             return out.text("SHOW stats").end(PgProtocol.QUERY).toBytes();
         }
         return out.int32(PgProtocol.VERSION_3)
--- a/src/main/java/crankwick/pg/PgEmulatorCodec.java
+++ b/src/main/java/crankwick/pg/PgEmulatorCodec.java
@@ -1,7 +1,7 @@
 package crankwick.pg;
 
 import crankwick.client.ClientReply;
-import crankwick.database.DatabaseReply;
+import crankwick.database.EmulatedResponse;
 import crankwick.routing.api.AttemptResult;
 import crankwick.transport.CodecFilter;
 import java.nio.charset.StandardCharsets;
@@ -20,13 +20,13 @@
         if (value instanceof ClientReply) {
             return clientCodec.encode(value);
         }
-        DatabaseReply reply = (DatabaseReply) value;
+        EmulatedResponse reply = (EmulatedResponse) value;
         PgWriter out = new PgWriter();
         out.text("mode").text(reply.mode()).end(PgProtocol.PARAMETER_STATUS);
-        out.text("wal_time").text(Long.toString(reply.millis())).end(PgProtocol.PARAMETER_STATUS);
-        out.text("stats").text(reply.stats()).end(PgProtocol.PARAMETER_STATUS);
+        out.text("wal_time").text(Long.toString(reply.positionMillis())).end(PgProtocol.PARAMETER_STATUS);
+        out.text("stats").text(reply.loadReport()).end(PgProtocol.PARAMETER_STATUS);
         if (reply.result() == AttemptResult.OK) {
-            String text = reply.probe() ? reply.stats() : reply.value();
+            String text = reply.healthCheck() ? reply.loadReport() : reply.value();
             byte[] row = text.getBytes(StandardCharsets.ISO_8859_1);
             out.row(row);
             out.text("SELECT 1").end(PgProtocol.COMMAND_COMPLETE);
--- a/src/main/java/crankwick/runtime/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Hands events to the broker and carries its effects out, in order; lives on the loop. */
+/** Hands events to the broker and carries out its effects in order; lives on the event loop. */
 public final class EffectRunner implements BrokerEventSink {
     private static final Logger LOG = LoggerFactory.getLogger(EffectRunner.class);
 
@@ -25,23 +25,23 @@
     private final Clock clock;
     private final ArrayDeque<BrokerEvent> events = new ArrayDeque<>();
     private boolean running;
-    private ClientListener front;
-    private DatabasePool pool;
+    private ClientListener clients;
+    private DatabasePool databases;
 
-    /** Before any event, {@link #attach} must name who carries the effects out. */
+    /** {@link #attachExecutors} must be called before any event is published. */
     public EffectRunner(Broker broker, EventLoop loop, Clock clock) {
         this.broker = broker;
         this.loop = loop;
         this.clock = clock;
     }
 
-    /** Names who carries the effects out. */
-    public void attach(ClientListener clients, DatabasePool databases) {
-        front = clients;
-        pool = databases;
+    /** Sets who carries the effects out. */
+    public void attachExecutors(ClientListener clientListener, DatabasePool databasePool) {
+        clients = clientListener;
+        databases = databasePool;
     }
 
-    /** Tells the broker; an event that an effect brings about waits until that effect's siblings are done. */
+    /** Reduces an event; one that is published by an effect waits until the present event's effects are done. */
     @Override
     public void publish(BrokerEvent event) {
         events.add(event);
@@ -62,29 +62,29 @@
 
     private void run(Effect effect) {
         if (effect instanceof Effect.SendAttempt e) {
-            pool.send(e, new ForwardedCommand(front.command(e.requestId())));
+            databases.send(e, new ForwardedCommand(clients.command(e.requestId())));
         } else if (effect instanceof Effect.SendReply e) {
-            front.reply(e.requestId(), e.reply());
+            clients.reply(e.requestId(), e.reply());
         } else if (effect instanceof Effect.CancelAttempt e) {
-            pool.cancelAttempt(e.requestId());
+            databases.cancelAttempt(e.requestId());
         } else if (effect instanceof Effect.CancelQueued e) {
-            pool.cancelQueued(e.requestId());
+            databases.cancelQueued(e.requestId());
         } else if (effect instanceof Effect.ScheduleTimer e) {
             loop.after(e.delay(), () -> publish(e.event()));
         } else if (effect instanceof Effect.CheckHealth e) {
-            pool.checkHealth(e.endpointId());
+            databases.checkHealth(e.endpointId());
         } else if (effect instanceof Effect.Log e) {
             LOG.info(e.line());
         }
     }
 
     /** Takes an update of the endpoint list: the pool first, so that the broker names no database unknown to it. */
-    public void listed(Discovery.ListUpdate news) {
-        List<EndpointAddress> addresses = new ArrayList<>(news.discovered().size());
-        for (Discovery.DiscoveredEndpoint discovered : news.discovered()) {
+    public void updateEndpoints(Discovery.ListUpdate update) {
+        List<EndpointAddress> addresses = new ArrayList<>(update.discovered().size());
+        for (Discovery.DiscoveredEndpoint discovered : update.discovered()) {
             addresses.add(new EndpointAddress(discovered.endpoint(), discovered.address()));
         }
-        pool.updateEndpoints(news.kind(), addresses);
-        publish(new BrokerEvent.EndpointsUpdated(news.kind(), news.endpoints()));
+        databases.updateEndpoints(update.kind(), addresses);
+        publish(new BrokerEvent.EndpointsUpdated(update.kind(), update.endpoints()));
     }
 }
--- a/src/main/java/crankwick/tds/TdsClientCodec.java
+++ b/src/main/java/crankwick/tds/TdsClientCodec.java
@@ -28,7 +28,7 @@
         @Override
         protected void take(int type, ByteBuffer body, FilterChainContext context) {
             if (type == Tds.PRELOGIN && !loggedIn) {
-                answer(context, new TdsWriter().bytes(Tds.PRELOGIN_BODY).packets(Tds.TABULAR_RESULT));
+                respond(context, new TdsWriter().bytes(Tds.PRELOGIN_BODY).packets(Tds.TABULAR_RESULT));
             } else if (type == Tds.LOGIN7 && !loggedIn) {
                 loggedIn = true;
                 int from = body.getShort(LOGIN_USER_OFFSET) & Tds.SHORT_MASK;
@@ -37,37 +37,37 @@
             } else if (type == Tds.SQL_BATCH && loggedIn) {
                 body.position(body.getInt());
                 String text = text(body, body.remaining() / 2);
-                emit(text.isBlank() ? new ClientMessage.Empty() : new ClientMessage.Query(text));
+                emit(text.isBlank() ? new ClientMessage.EmptyQuery() : new ClientMessage.Query(text));
             } else if (type == Tds.ATTENTION && loggedIn) {
-                emit(new ClientMessage.Attention());
+                emit(new ClientMessage.Cancel());
             } else {
                 throw new IllegalArgumentException("a message of type " + type + " out of place");
             }
         }
 
         @Override
-        protected Object brokenBy(String fault) {
-            return new ClientMessage.Broken(fault);
+        protected Object protocolError(String fault) {
+            return new ClientMessage.ProtocolError(fault);
         }
     }
 
     @Override
     public byte[] encode(Object value) {
         TdsWriter out = new TdsWriter();
-        if (value instanceof ClientReply.Final f) {
+        if (value instanceof ClientReply.RequestReply f) {
             writeReply(out, f.reply());
-        } else if (value instanceof ClientReply.Nothing) {
+        } else if (value instanceof ClientReply.EmptyQueryResponse) {
             out.done(0, 0);
-        } else if (value instanceof ClientReply.AttentionHeard) {
+        } else if (value instanceof ClientReply.CancelAcknowledged) {
             out.done(Tds.DONE_ATTENTION, 0);
-        } else if (value instanceof ClientReply.Unreadable u) {
+        } else if (value instanceof ClientReply.InvalidStatement u) {
             writeError(out, Tds.UNREADABLE, u.fault());
-        } else if (value instanceof ClientReply.Fatal f) {
+        } else if (value instanceof ClientReply.ConnectionError f) {
             int number =
                     switch (f.cause()) {
-                        case TOO_MANY -> Tds.TOO_MANY_CONNECTIONS;
+                        case TOO_MANY_CONNECTIONS -> Tds.TOO_MANY_CONNECTIONS;
                         case UNKNOWN_TEAM -> Tds.LOGIN_FAILED;
-                        case BROKEN -> Tds.PROTOCOL_ERROR;
+                        case PROTOCOL_ERROR -> Tds.PROTOCOL_ERROR;
                     };
             out.message(Tds.ERROR, number, Tds.FATAL_SEVERITY, f.fault()).done(Tds.DONE_ERROR, 0);
         } else {
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -61,9 +61,9 @@
         private LoadReport report;
 
         @Override
-        protected void asked(Object command) {
-            super.asked(command);
-            healthCheck = command instanceof DatabaseCommand.AskReport;
+        protected void onCommand(Object command) {
+            super.onCommand(command);
+            healthCheck = command instanceof DatabaseCommand.RequestLoadReport;
         }
 
         @Override
@@ -71,7 +71,7 @@
             require(type == Tds.TABULAR_RESULT, "not a response");
             if (!preloggedIn) {
                 preloggedIn = true;
-                answer(context, login());
+                respond(context, login());
                 return;
             }
             while (body.hasRemaining()) {
@@ -82,12 +82,12 @@
             if (!greeted && loginAck && error == 0) {
                 greeted = true;
                 clear();
-                emitLast(new DatabaseMessage.Greeted());
+                emitLast(new DatabaseMessage.ConnectionReady());
                 return;
             }
             require(error != 0 || rowSeen != healthCheck, "an answer without its row");
             AttemptResult result = error == 0 ? AttemptResult.OK : result(error);
-            var answer = new DatabaseMessage.Answered(result, role, position, report, value, fatal || !greeted);
+            var answer = new DatabaseMessage.Response(result, role, position, report, value, fatal || !greeted);
             clear();
             emitLast(answer);
         }
@@ -183,8 +183,8 @@
         }
 
         @Override
-        protected Object brokenBy(String fault) {
-            return new DatabaseMessage.Broken(fault);
+        protected Object protocolError(String fault) {
+            return new DatabaseMessage.ProtocolError(fault);
         }
 
         private static void require(boolean holds, String fault) {
@@ -225,10 +225,10 @@
 
     @Override
     public byte[] encode(Object value) {
-        if (value instanceof DatabaseCommand.Hello) {
+        if (value instanceof DatabaseCommand.Handshake) {
             return new TdsWriter().bytes(Tds.PRELOGIN_BODY).packets(Tds.PRELOGIN);
         }
-        String text = value instanceof DatabaseCommand.Run run ? run.text() : Tds.REPORT_QUERY;
+        String text = value instanceof DatabaseCommand.Execute run ? run.text() : Tds.REPORT_QUERY;
         // ALL_HEADERS with the transaction descriptor that every batch must have: no transaction.
         return new TdsWriter()
                 .int32(ALL_HEADERS_BYTES)
--- a/src/main/java/crankwick/tds/TdsDecoder.java
+++ b/src/main/java/crankwick/tds/TdsDecoder.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    protected int begun() {
+    protected int partialBytes() {
         return body.size();
     }
 
--- a/src/main/java/crankwick/tds/TdsEmulatorCodec.java
+++ b/src/main/java/crankwick/tds/TdsEmulatorCodec.java
@@ -1,7 +1,7 @@
 package crankwick.tds;
 
 import crankwick.client.ClientReply;
-import crankwick.database.DatabaseReply;
+import crankwick.database.EmulatedResponse;
 import crankwick.routing.api.AttemptResult;
 import crankwick.transport.CodecFilter;
 import java.nio.charset.StandardCharsets;
@@ -22,12 +22,12 @@
         if (value instanceof ClientReply) {
             return clientCodec.encode(value);
         }
-        DatabaseReply reply = (DatabaseReply) value;
+        EmulatedResponse reply = (EmulatedResponse) value;
         TdsWriter out = new TdsWriter();
         out.message(Tds.INFO, Tds.FACT_INFO, 0, "mode=" + reply.mode());
-        out.message(Tds.INFO, Tds.FACT_INFO, 0, "wal_time=" + reply.millis());
-        out.message(Tds.INFO, Tds.FACT_INFO, 0, "stats=" + reply.stats());
-        if (reply.result() == AttemptResult.OK && !reply.probe()) {
+        out.message(Tds.INFO, Tds.FACT_INFO, 0, "wal_time=" + reply.positionMillis());
+        out.message(Tds.INFO, Tds.FACT_INFO, 0, "stats=" + reply.loadReport());
+        if (reply.result() == AttemptResult.OK && !reply.healthCheck()) {
             byte[] row = reply.value().getBytes(StandardCharsets.ISO_8859_1);
             out.row(row);
             out.done(Tds.DONE_COUNT, 1);
--- a/src/main/java/crankwick/transport/Clock.java
+++ b/src/main/java/crankwick/transport/Clock.java
@@ -5,11 +5,11 @@
 
 /** Microseconds of Unix time on a clock that only goes forward: it reads the wall once, at its start. */
 public final class Clock {
-    private final long wall = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-    private final long anchor = System.nanoTime();
+    private final long startedAtMicros = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+    private final long startedAtNanos = System.nanoTime();
 
     /** The time now. */
     public long now() {
-        return wall + (System.nanoTime() - anchor) / 1_000;
+        return startedAtMicros + (System.nanoTime() - startedAtNanos) / 1_000;
     }
 }
--- a/src/main/java/crankwick/transport/CodecFilter.java
+++ b/src/main/java/crankwick/transport/CodecFilter.java
@@ -17,113 +17,132 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * The shape of every wire's codec: what comes in is read into typed values, which go up as a list; values are
- * written as bytes and go down. What has come in of a value that is not whole is kept here, within a budget
- * for all connections of the wire together. After a breach of the protocol the rest is dropped as it streams.
+ * The base of the codec of each protocol: input is decoded into typed messages, which go up the chain as a list;
+ * messages are encoded as bytes on the way down. Incomplete input is buffered here, within a budget for all
+ * connections of the protocol together. After a protocol error further input is dropped.
  */
 public abstract class CodecFilter extends BaseFilter {
-    /** Guards against many peers that each send a part of something large. */
-    private static final long MAX_KEPT = Runtime.getRuntime().maxMemory() / 8;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final int MAX_BUFFERED_HEAP_DIVISOR = 8;
+    /** Bounds the input of many peers that each send a part of a large message. */
+    private static final long MAX_BUFFERED_BYTES = Runtime.getRuntime().maxMemory() / MAX_BUFFERED_HEAP_DIVISOR;
 
-    private final AtomicLong kept = new AtomicLong();
+    private final AtomicLong bufferedBytes = new AtomicLong();
     private final Attribute<Decoder> decoders = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute(
             getClass().getName() + '@' + System.identityHashCode(this));
 
-    /** What is kept of one connection; its owner is the filter, which gives it back when that closes. */
+    /** The decoding state of one connection; the filter releases it when the connection closes. */
     public abstract static class Decoder {
-        private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+        private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-        private List<Object> whole;
-        private ByteBuffer rest = NOTHING;
-        private long reserved;
-        private boolean due = true;
+        private List<Object> decoded;
+        private ByteBuffer remainder = EMPTY;
+        private long reservedBytes;
+        private boolean inputExpected = true;
         private boolean broken;
-        /** While a part of a value is kept: when it began, or the last whole one came; else 0. */
-        private volatile long openSince;
+        /** While a message is incomplete: when it began, or the last complete one came; else 0. */
+        private volatile long incompleteSinceNanos;
 
-        /** Reads on from the buffer's position; false if that is not enough. May throw on nonsense. */
+        /** Decodes from the buffer's position; false if a message is incomplete. Throws IllegalArgumentException. */
         protected abstract boolean decode(ByteBuffer in, FilterChainContext context);
 
-        /** The value that stands for a breach of the protocol. */
-        protected abstract Object brokenBy(String fault);
+        /** The message that stands for a protocol error. */
+        protected abstract Object protocolError(String fault);
 
-        /** Bytes kept in the decoder itself of a value that earlier calls have begun; 0 between values. */
-        protected abstract int begun();
+        /** The bytes that the decoder itself retains of an incomplete message; 0 between messages. */
+        protected abstract int partialBytes();
 
-        /** Passes a value up. */
+        /** Passes a message up. */
         protected final void emit(Object value) {
-            whole.add(value);
+            decoded.add(value);
         }
 
-        /** Passes a value up after which nothing may come in until a command goes out. */
+        /** Passes a message up after which no input is expected until a command goes out. */
         protected final void emitLast(Object value) {
-            whole.add(value);
-            due = false;
+            decoded.add(value);
+            inputExpected = false;
         }
 
-        /** Answers below the level of values, as a negotiation does. */
-        protected final void answer(FilterChainContext context, byte[] bytes) {
+        /** Writes bytes directly, as a negotiation does. */
+        protected final void respond(FilterChainContext context, byte[] bytes) {
             context.write(wrap(bytes));
         }
 
-        /** A command goes out, so that its answer may come in. */
-        protected void asked(Object command) {
-            due = true;
+        /** A command goes out, so that its response may come in. */
+        protected void onCommand(Object command) {
+            inputExpected = true;
         }
 
         private synchronized List<Object> read(ByteBuffer in, FilterChainContext context, AtomicLong budget) {
             if (broken) {
                 return List.of();
             }
-            whole = new ArrayList<>(2);
-            ByteBuffer all = rest.hasRemaining() ? joined(in) : in;
-            int start = all.position();
+            decoded = new ArrayList<>(2);
+            String fault = decodeAll(in, context, budget);
+            if (fault != null) {
+                fail(fault, budget);
+                incompleteSinceNanos = 0;
+            } else if (!remainder.hasRemaining() && partialBytes() <= 0) {
+                incompleteSinceNanos = 0;
+            } else if (incompleteSinceNanos == 0 || !decoded.isEmpty()) {
+                incompleteSinceNanos = System.nanoTime();
+            }
+            return decoded;
+        }
+
+        /** Decodes what has come in, and retains the rest; returns what is wrong with it, or null. */
+        private String decodeAll(ByteBuffer in, FilterChainContext context, AtomicLong budget) {
+            ByteBuffer input = remainder.hasRemaining() ? join(in) : in;
+            int start = input.position();
             String fault = null;
             try {
-                while (fault == null && all.hasRemaining()) {
-                    if (!due) {
+                while (fault == null && input.hasRemaining()) {
+                    if (!inputExpected) {
                         fault = "bytes that no command asked for";
-                    } else if (decode(all, context)) {
-                        start = all.position();
+                    } else if (decode(input, context)) {
+                        start = input.position();
                     } else {
                         break;
                     }
                 }
-                all.position(start);
-                rest = !all.hasRemaining() ? NOTHING : all == in ? joined(NOTHING, in) : all;
-                reserve(rest.capacity() + begun(), budget);
+                input.position(start);
+                retain(input, in);
+                reserve(remainder.capacity() + partialBytes(), budget);
             } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
                 fault = "a truncated field";
             } catch (IllegalArgumentException e) {
                 fault = e.getMessage();
             }
-            boolean open = rest.hasRemaining() || begun() > 0;
-            if (fault != null) {
-                emit(brokenBy(fault));
-                broken = true;
-                open = false;
-                rest = NOTHING;
-                reserve(0, budget);
-            }
-            if (!open) {
-                openSince = 0;
-            } else if (openSince == 0 || !whole.isEmpty()) {
-                openSince = System.nanoTime();
+            return fault;
+        }
+
+        /** Keeps what is left of the input; {@code in} is Grizzly's own buffer, of which a copy is made. */
+        private void retain(ByteBuffer input, ByteBuffer in) {
+            if (!input.hasRemaining()) {
+                remainder = EMPTY;
+            } else {
+                remainder = input == in ? join(EMPTY, in) : input;
             }
-            return whole;
         }
 
-        private ByteBuffer joined(ByteBuffer more) {
-            int end = rest.limit();
-            if (rest.capacity() - end < more.remaining()) {
-                return joined(rest, more);
+        private void fail(String fault, AtomicLong budget) {
+            emit(protocolError(fault));
+            broken = true;
+            remainder = EMPTY;
+            reserve(0, budget);
+        }
+
+        private ByteBuffer join(ByteBuffer more) {
+            int end = remainder.limit();
+            if (remainder.capacity() - end < more.remaining()) {
+                return join(remainder, more);
             }
-            rest.limit(end + more.remaining());
-            rest.put(end, more, more.position(), more.remaining());
-            return rest;
+            remainder.limit(end + more.remaining());
+            remainder.put(end, more, more.position(), more.remaining());
+            return remainder;
         }
 
-        private static ByteBuffer joined(ByteBuffer first, ByteBuffer second) {
+        private static ByteBuffer join(ByteBuffer first, ByteBuffer second) {
             int length = first.remaining() + second.remaining();
             return ByteBuffer.allocate(Math.max(length, 2 * first.remaining()))
                     .put(first)
@@ -132,49 +151,49 @@
         }
 
         private void reserve(long bytes, AtomicLong budget) {
-            long all = budget.addAndGet(bytes - reserved);
-            reserved = bytes;
-            if (all > MAX_KEPT && bytes > 0) {
+            long all = budget.addAndGet(bytes - reservedBytes);
+            reservedBytes = bytes;
+            if (all > MAX_BUFFERED_BYTES && bytes > 0) {
                 throw new IllegalArgumentException("no memory is left for what is not whole");
             }
         }
 
         private synchronized void release(AtomicLong budget) {
             broken = true;
-            rest = NOTHING;
-            openSince = 0;
+            remainder = EMPTY;
+            incompleteSinceNanos = 0;
             reserve(0, budget);
         }
     }
 
-    /** For a connection that has just come up. */
+    /** The decoder of a new connection. */
     protected abstract Decoder newDecoder();
 
-    /** The bytes of a value. */
+    /** The bytes of a message. */
     public abstract byte[] encode(Object value);
 
-    /** This command goes out next: its answer may come in. To be called where reading is done. */
+    /** This command goes out next, and its response may come in. To be called on the selector thread. */
     public final void expect(Connection<?> connection, Object command) {
-        decoders.peek(connection).asked(command);
+        decoders.peek(connection).onCommand(command);
     }
 
-    /** True if a part of a value has come in, but not its end. */
-    public final boolean hasPartOfAValue(Connection<?> connection) {
+    /** True if a message has come in incompletely. */
+    public final boolean hasIncompleteMessage(Connection<?> connection) {
         Decoder decoder = decoders.peek(connection);
-        return decoder != null && decoder.openSince != 0;
+        return decoder != null && decoder.incompleteSinceNanos != 0;
     }
 
-    /** True if a part of a value has been lying here for so many microseconds without its end. */
-    public final boolean stalled(Connection<?> connection, long micros) {
+    /** True if a message has been incomplete for so many microseconds. */
+    public final boolean isStalled(Connection<?> connection, long micros) {
         Decoder decoder = decoders.peek(connection);
-        long since = decoder == null ? 0 : decoder.openSince;
-        return since != 0 && System.nanoTime() - since > micros * 1_000;
+        long since = decoder == null ? 0 : decoder.incompleteSinceNanos;
+        return since != 0 && System.nanoTime() - since > micros * NANOS_PER_MICRO;
     }
 
-    /** Runs a task, where the connection is read, if it is stalled even once what has arrived is read. */
+    /** Runs a task on the selector thread, if the connection is still stalled once what has arrived is read. */
     public final void ifStillStalled(Connection<?> connection, long micros, Runnable task) {
         Transport.afterReading(connection, () -> {
-            if (stalled(connection, micros)) {
+            if (isStalled(connection, micros)) {
                 task.run();
             }
         });
@@ -194,7 +213,7 @@
     @Override
     public final NextAction handleRead(FilterChainContext context) throws IOException {
         Buffer in = context.getMessage();
-        List<Object> values = decoders.peek(context.getConnection()).read(in.toByteBuffer(), context, kept);
+        List<Object> values = decoders.peek(context.getConnection()).read(in.toByteBuffer(), context, bufferedBytes);
         in.tryDispose();
         if (values.isEmpty()) {
             return context.getStopAction();
@@ -213,7 +232,7 @@
     public final NextAction handleClose(FilterChainContext context) throws IOException {
         Decoder decoder = decoders.peek(context.getConnection());
         if (decoder != null) {
-            decoder.release(kept);
+            decoder.release(bufferedBytes);
         }
         return context.getInvokeAction();
     }
--- a/src/main/java/crankwick/transport/Transport.java
+++ b/src/main/java/crankwick/transport/Transport.java
@@ -28,12 +28,12 @@
 
 /** The process's one Grizzly transport: a single selector thread that decodes and hands over to the loop. */
 public final class Transport implements AutoCloseable {
-    private static final int READ_BUFFER = 16 * 1024;
-    /** Guards against clients and databases that do not read: past this the write fails. */
-    private static final int MAX_UNWRITTEN = 1 << 20;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    /** Bounds what a peer that does not read may cost: past this the write fails. */
+    private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
 
-    private static final int BACKLOG = 1024;
-    private static final HeapMemoryManager MEMORY = new HeapMemoryManager(READ_BUFFER);
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final HeapMemoryManager MEMORY_MANAGER = new HeapMemoryManager(READ_BUFFER_BYTES);
 
     private final TCPNIOTransport transport;
 
@@ -48,20 +48,20 @@
                         .setThreadFactory(Transport::selectorThread))
                 .setWorkerThreadPoolConfig(null)
                 .setIOStrategy(SameThreadIOStrategy.getInstance())
-                .setMemoryManager(MEMORY)
-                .setReadBufferSize(READ_BUFFER)
-                .setMaxAsyncWriteQueueSizeInBytes(MAX_UNWRITTEN)
-                .setServerConnectionBackLog(BACKLOG)
+                .setMemoryManager(MEMORY_MANAGER)
+                .setReadBufferSize(READ_BUFFER_BYTES)
+                .setMaxAsyncWriteQueueSizeInBytes(MAX_UNWRITTEN_BYTES)
+                .setServerConnectionBackLog(ACCEPT_BACKLOG)
                 .setReuseAddress(true)
                 .setTcpNoDelay(true)
                 .build();
         transport.start();
     }
 
-    /** As Grizzly makes it; its own factory spends a twentieth of a second on joining the name's parts. */
+    /** As Grizzly makes it, but without its default factory, which is slow at a start. */
     private static Thread selectorThread(Runnable task) {
         return new DefaultWorkerThread(
-                Grizzly.DEFAULT_ATTRIBUTE_BUILDER, "selector", MEMORY.createThreadLocalPool(), task);
+                Grizzly.DEFAULT_ATTRIBUTE_BUILDER, "selector", MEMORY_MANAGER.createThreadLocalPool(), task);
     }
 
     /** Listens at an address. */
@@ -107,7 +107,7 @@
     }
 
     /** Takes a connection's event up, or leaves it to wait. */
-    public static void toggle(Connection<?> connection, IOEvent event, boolean wanted) {
+    public static void setInterest(Connection<?> connection, IOEvent event, boolean wanted) {
         try {
             if (wanted) {
                 connection.enableIOEvent(event);
--- a/src/test/java/crankwick/app/ConnectionRaceTest.java
+++ b/src/test/java/crankwick/app/ConnectionRaceTest.java
@@ -115,7 +115,7 @@
             PausableProxyFixture.Hold beforeCancel = proxy.queueHold();
             client.send(LineProtocolCodec.CANCEL);
             letGreetingPass(proxy, beforeGreeting, beforeCancel);
-            assertEquals(client.answer(), "AttentionHeard");
+            assertEquals(client.answer(), "CancelAcknowledged");
             client.write("2", WAIT_MS);
             assertEquals(client.answer(), "Served primary:2");
             assertEquals(proxy.ledger.sent("1"), 0, proxy.ledger.seen.toString());
@@ -321,8 +321,8 @@
             int refused = 0;
             for (int i = 0; i < more; i++) {
                 String answer = client.answer();
-                assertTrue(answer.equals("Nothing") || answer.equals("Rejected"), i + ": " + answer);
-                nothing += answer.equals("Nothing") ? 1 : 0;
+                assertTrue(answer.equals("EmptyQueryResponse") || answer.equals("Rejected"), i + ": " + answer);
+                nothing += answer.equals("EmptyQueryResponse") ? 1 : 0;
                 refused += answer.equals("Rejected") ? 1 : 0;
             }
             assertEquals(nothing + refused, more);
--- a/src/test/java/crankwick/app/LineProtocolCodec.java
+++ b/src/test/java/crankwick/app/LineProtocolCodec.java
@@ -52,9 +52,9 @@
                 return true;
             }
             if (line.equals(CANCEL)) {
-                emit(new ClientMessage.Attention());
+                emit(new ClientMessage.Cancel());
             } else {
-                emit(line.isEmpty() ? new ClientMessage.Empty() : new ClientMessage.Query(line));
+                emit(line.isEmpty() ? new ClientMessage.EmptyQuery() : new ClientMessage.Query(line));
             }
             read.release();
             return true;
@@ -69,13 +69,13 @@
         }
 
         @Override
-        protected int begun() {
+        protected int partialBytes() {
             return 0;
         }
 
         @Override
-        protected Object brokenBy(String fault) {
-            return new ClientMessage.Broken(fault);
+        protected Object protocolError(String fault) {
+            return new ClientMessage.ProtocolError(fault);
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     private static String text(Object value) {
-        if (!(value instanceof ClientReply.Final answer)) {
+        if (!(value instanceof ClientReply.RequestReply answer)) {
             return value.getClass().getSimpleName();
         }
         return answer.reply() instanceof Reply.Served served
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -61,7 +61,7 @@
         EffectRunner runner = new EffectRunner(broker, loop, clock);
         front = new ClientListener(
                 runner, loop, clock, wire, new ClientSettings(settings, List.of("write"), ""::equals, maxSessions));
-        runner.attach(
+        runner.attachExecutors(
                 front,
                 new DatabasePool(
                         runner,
@@ -74,7 +74,7 @@
         var address = new InetSocketAddress("127.0.0.1", database.listener.getLocalPort());
         Endpoint member = new Endpoint("primary", 0, 0, Role.PRIMARY, EndpointStatus.LIVE, 0);
         loop.execute(() -> {
-            runner.listed(new Discovery.ListUpdate(
+            runner.updateEndpoints(new Discovery.ListUpdate(
                     EndpointUpdateKind.FULL, List.of(new Discovery.DiscoveredEndpoint(member, address))));
             front.ready();
         });
@@ -162,7 +162,7 @@
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             send("");
             List<String> answers = new ArrayList<>(List.of(answer(), answer()));
-            if (!answers.equals(List.of("Welcome", "Nothing"))) {
+            if (!answers.equals(List.of("LoginAccepted", "EmptyQueryResponse"))) {
                 throw new IOException(answers.toString());
             }
             onLoop(() -> {});
