--- a/src/main/java/crankwick/app/Main.java
+++ b/src/main/java/crankwick/app/Main.java
@@ -102,12 +102,13 @@
                         transport,
                         loop,
                         clock,
-                        config.discovery(),
-                        () -> PlatformConfig.read(file).discovery(),
                         lists,
-                        config.known(),
-                        config.version(),
-                        config.seed(),
+                        new HttpEndpointWatch.Start(
+                                config.discovery(),
+                                () -> PlatformConfig.read(file).discovery(),
+                                config.known(),
+                                config.version(),
+                                config.seed()),
                         service::onEndpointsUpdated));
         return service;
     }
--- a/src/main/java/crankwick/database/EmulatedResponse.java
+++ b/src/main/java/crankwick/database/EmulatedResponse.java
@@ -5,11 +5,11 @@
 import crankwick.routing.api.Role;
 
 /**
- * What an emulated database answers to a statement or a probe; {@code position} in microseconds.
+ * The response of an emulated database to a statement or a health check; {@code position} in microseconds.
  *
- * @param result OK, MISS, FULL or ERROR
- * @param value the row's value where the result is OK and this is no probe
- * @param write whether the statement was a write: a miss of one is worded unlike that of a read
+ * @param result {@code OK}, {@code INELIGIBLE_REPLICA}, {@code REJECTED_OVERLOADED} or {@code ERROR}
+ * @param value the row's value where the result is OK and this is no health check
+ * @param write whether the statement was a write: protocols word an ineligible one unlike that of a read
  */
 public record EmulatedResponse(
         AttemptResult result,
@@ -19,6 +19,9 @@
         String value,
         boolean healthCheck,
         boolean write) {
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final double MILLIS_PER_SECOND = 1e3;
+
     /** The role as databases word it. */
     public String mode() {
         return role == Role.PRIMARY ? "read-write" : "read-only";
@@ -27,12 +30,13 @@
     /** The position in Unix milliseconds: a commit's is rounded up, any other down. */
     public long positionMillis() {
         return write && result == AttemptResult.OK
-                ? Math.floorDiv(position + 999, 1_000L)
-                : Math.floorDiv(position, 1_000L);
+                ? Math.floorDiv(position + MICROS_PER_MILLI - 1, MICROS_PER_MILLI)
+                : Math.floorDiv(position, MICROS_PER_MILLI);
     }
 
-    /** The load report, as {@link LoadReportCodec} reads it. */
+    /** The load report, as {@link LoadReportCodec} decodes it. */
     public String loadReport() {
-        return "x0=" + report.position() / 1_000 / 1e3 + ",x1=" + (role == Role.PRIMARY ? 1 : 0);
+        return "x0=" + report.position() / MICROS_PER_MILLI / MILLIS_PER_SECOND + ",x1="
+                + (role == Role.PRIMARY ? 1 : 0);
     }
 }
--- a/src/main/java/crankwick/database/LoadReportCodec.java
+++ b/src/main/java/crankwick/database/LoadReportCodec.java
@@ -5,8 +5,10 @@
 import crankwick.routing.api.Role;
 import java.util.regex.Pattern;
 
-/** Reads a load report, {@code x0=1767225600.123,x1=0}, which is worded alike on every wire. */
+/** Decodes a load report, {@code x0=1767225600.123,x1=0}, whose form is the same in every protocol. */
 public final class LoadReportCodec {
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MICROS_PER_MILLI = 1e3;
     /** Narrower than what Java reads: no sign, no infinity, no hexadecimal, nothing of astronomic size. */
     private static final double MAX_NUMBER = 1e14;
 
@@ -14,7 +16,7 @@
 
     private LoadReportCodec() {}
 
-    /** The report, or null if any part of the text can't be read: then none of it is believed. */
+    /** The report; null if any part of the text is malformed. */
     public static LoadReport parse(String text) {
         long position = AbsentValue.NONE;
         Role role = Role.UNKNOWN;
@@ -28,7 +30,7 @@
                 return null;
             }
             switch (part.substring(0, equals)) {
-                case "x0" -> position = (long) (value * 1e6);
+                case "x0" -> position = (long) (value * MICROS_PER_SECOND);
                 case "x1" -> role = value == 1 ? Role.PRIMARY : Role.REPLICA;
                 case "backlog", "queue" -> queueLength = value;
                 case "utilization", "util" -> utilization = value;
@@ -42,10 +44,10 @@
     /** A log position in Unix milliseconds as microseconds; NONE if the text is none. */
     public static long position(String millis) {
         double value = number(millis);
-        return value > 0 ? (long) (value * 1e3) : AbsentValue.NONE;
+        return value > 0 ? (long) (value * MICROS_PER_MILLI) : AbsentValue.NONE;
     }
 
-    /** A database's place in its group, from its {@code mode}. */
+    /** A database's role in its group, from its {@code mode}. */
     public static Role role(String mode) {
         return switch (mode) {
             case "read-write" -> Role.PRIMARY;
--- a/src/main/java/crankwick/discovery/HttpEndpointWatch.java
+++ b/src/main/java/crankwick/discovery/HttpEndpointWatch.java
@@ -32,27 +32,39 @@
     private boolean failing;
     private String failureReason;
 
-    /** Continues from {@code known}, of that version; {@code configuredAddress} reads the configuration again. */
+    /**
+     * Where a watch begins.
+     *
+     * @param address that of discovery
+     * @param configuredAddress reads the address from the configuration again
+     * @param known the list to continue from
+     * @param version its version
+     * @param seed of the random timeouts
+     */
+    public record Start(
+            InetSocketAddress address,
+            ConfigurationSource<InetSocketAddress> configuredAddress,
+            ListUpdate known,
+            long version,
+            long seed) {}
+
+    /** Delivers updates on the event loop. */
     public HttpEndpointWatch(
             Transport transport,
             EventLoop loop,
             Clock clock,
-            InetSocketAddress address,
-            ConfigurationSource<InetSocketAddress> configuredAddress,
             EndpointListCodec codec,
-            ListUpdate known,
-            long version,
-            long seed,
+            Start start,
             Consumer<ListUpdate> listener) {
         this.transport = transport;
         this.loop = loop;
         this.clock = clock;
-        this.address = address;
-        this.configuredAddress = configuredAddress;
+        address = start.address();
+        configuredAddress = start.configuredAddress();
         this.codec = codec;
-        endpointList = new EndpointList(known.discovered());
+        endpointList = new EndpointList(start.known().discovered());
         this.listener = listener;
-        watch = new EndpointWatch(version, seed, this);
+        watch = new EndpointWatch(start.version(), start.seed(), this);
     }
 
     @Override
