--- a/src/test/java/crankwick/app/DrainsIT.java
+++ b/src/test/java/crankwick/app/DrainsIT.java
@@ -194,8 +194,8 @@
             throws IOException {
         int before = d.ledger.at(draining.name).size();
         for (int i = 0; i < 20; i++) {
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED", "" + when);
+            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED", when + " " + d.log);
         }
-        assertEquals(d.ledger.at(draining.name).size(), before, "" + when);
+        assertEquals(d.ledger.at(draining.name).size(), before, when + " " + d.log);
     }
 }
