--- a/src/test/java/crankwick/app/FaultSoak.java
+++ b/src/test/java/crankwick/app/FaultSoak.java
@@ -69,8 +69,8 @@
     /** How late the proxy's loop was at worst, by its own word. */
     private static int worstLateMs(Deployment d) {
         return d.log.stream()
-                .filter(line -> line.contains("the loop is up to "))
-                .mapToInt(line -> Integer.parseInt(line.replaceAll(".*the loop is up to (\\d+) ms.*", "$1")))
+                .filter(line -> line.contains("event loop up to "))
+                .mapToInt(line -> Integer.parseInt(line.replaceAll(".*event loop up to (\\d+) ms.*", "$1")))
                 .max()
                 .orElse(0);
     }
--- a/src/test/java/crankwick/app/RulesIT.java
+++ b/src/test/java/crankwick/app/RulesIT.java
@@ -248,10 +248,10 @@
             }
             String counters = d.end();
             assertTrue(counters.contains("STALE_CONNECTION="), counters);
-            assertTrue(d.log.stream().noneMatch(line -> line.contains("cold")), d.log.toString());
+            assertTrue(d.log.stream().noneMatch(line -> line.contains("slow start")), d.log.toString());
             if (!counters.contains("RESET=")) {
                 assertEquals(served, 80, counters);
-                assertTrue(d.log.stream().noneMatch(line -> line.contains("ejected")), d.log.toString());
+                assertTrue(d.log.stream().noneMatch(line -> line.contains(" ejected: ")), d.log.toString());
             }
             kept(d);
         }
