--- a/src/main/java/crankwick/routing/Router.java
+++ b/src/main/java/crankwick/routing/Router.java
@@ -119,7 +119,7 @@
         if (!outcome.result().provesNotExecuted() && outcome.result() != AttemptResult.OK) {
             request.recordPossibleExecution(endpoint);
         }
-        if (outcome.answered() || request.isClosed()) {
+        if (outcome.requestAnswered() || request.isClosed()) {
             openRequests.close(request);
         } else {
             openRequests.retryOrFinish(request, endpoint, outcome.result(), now, actions);
