--- a/src/main/java/crankwick/routing/ClassPriorities.java
+++ b/src/main/java/crankwick/routing/ClassPriorities.java
@@ -16,10 +16,11 @@
             max = Math.max(max, requestClasses.get(i).priorityWeight());
         }
         maxPriorityWeight = max;
-        servingOrder.sort((a, b) -> Double.compare(density(requestClasses.get(b)), density(requestClasses.get(a))));
+        servingOrder.sort((a, b) -> Double.compare(
+                weightPerObjectiveMicro(requestClasses.get(b)), weightPerObjectiveMicro(requestClasses.get(a))));
     }
 
-    private static double density(RequestClass requestClass) {
+    private static double weightPerObjectiveMicro(RequestClass requestClass) {
         return requestClass.priorityWeight() / requestClass.latencyObjective();
     }
 
--- a/src/main/java/crankwick/routing/ClientRetryDetector.java
+++ b/src/main/java/crankwick/routing/ClientRetryDetector.java
@@ -15,11 +15,11 @@
     private static final double SHORT_TIMEOUT_FRACTION = 0.65;
 
     /** One estimator per request class. */
-    private final List<DeadlineEstimator> firstAttemptTimeouts = new ArrayList<>();
+    private final List<ClientTimeoutEstimator> firstAttemptTimeouts = new ArrayList<>();
 
     ClientRetryDetector(int requestClasses) {
         for (int i = 0; i < requestClasses; i++) {
-            firstAttemptTimeouts.add(new DeadlineEstimator(PendingRequest.RESPONSE_MARGIN_MICROS));
+            firstAttemptTimeouts.add(new ClientTimeoutEstimator(PendingRequest.RESPONSE_MARGIN_MICROS));
         }
     }
 
--- a/src/main/java/crankwick/routing/DeadlineEstimator.java
+++ b/src/main/java/crankwick/routing/ClientTimeoutEstimator.java
@@ -4,7 +4,7 @@
  * Estimates the timeout that clients of one class give their first attempts, by a majority vote of their
  * requests: first attempts carry the same timeout, retries what remains of it.
  */
-final class DeadlineEstimator {
+final class ClientTimeoutEstimator {
     /** Agreeing requests from which the timeout counts as known. */
     private static final int MIN_VOTES = 3;
 
@@ -14,7 +14,7 @@
     private long firstAttemptTimeout;
     private int votes;
 
-    DeadlineEstimator(long tolerance) {
+    ClientTimeoutEstimator(long tolerance) {
         this.tolerance = tolerance;
     }
 
--- a/src/main/java/crankwick/routing/EndpointLatency.java
+++ b/src/main/java/crankwick/routing/EndpointLatency.java
@@ -8,15 +8,15 @@
     private long updatedAt = NEVER;
 
     /** The ratio as last updated. */
-    double last() {
+    double lastRatio() {
         return ratio;
     }
 
-    /** The ratio as it fades to the given resting value, so that the endpoint is tried again. */
-    double fadingTo(double resting, long now) {
-        return resting
-                + FadingMean.remainingWeight(updatedAt, LatencyEstimates.LATENCY_MEMORY_MICROS, now)
-                        * (ratio - resting);
+    /** The ratio as it fades to the given baseline value, so that the endpoint is tried again. */
+    double ratioDecayedTo(double baseline, long now) {
+        return baseline
+                + DecayingMean.remainingWeight(updatedAt, LatencyEstimates.LATENCY_DECAY_MICROS, now)
+                        * (ratio - baseline);
     }
 
     void update(double ratio, long now) {
--- a/src/main/java/crankwick/routing/FleetActivity.java
+++ b/src/main/java/crankwick/routing/FleetActivity.java
@@ -14,11 +14,11 @@
 
     private final DecayingCount attempts = new DecayingCount(SEND_RATE_WINDOW_MICROS);
     private double utilization = 1;
-    private boolean reportsLoad;
+    private boolean endpointsReportLoad;
 
     /** Whether health checks can tell how busy an endpoint is. */
-    boolean reportsLoad() {
-        return reportsLoad;
+    boolean endpointsReportLoad() {
+        return endpointsReportLoad;
     }
 
     void recordAttempt(long now) {
@@ -26,7 +26,7 @@
     }
 
     void recordReport(LoadReport report) {
-        reportsLoad |= ReportedLoad.isKnown(report);
+        endpointsReportLoad |= ReportedLoad.includesLoad(report);
     }
 
     /** Records the utilization of an endpoint at its full capacity. */
--- a/src/main/java/crankwick/routing/HealthCheckScheduler.java
+++ b/src/main/java/crankwick/routing/HealthCheckScheduler.java
@@ -116,7 +116,7 @@
     /** Whether the result may release the request: the endpoint is neither unresponsive nor far behind. */
     private boolean isUsefulToCheck(EndpointState endpoint, PendingRequest request, long now) {
         HealthStatus health = endpoint.health();
-        boolean mayRelease = activity.reportsLoad()
+        boolean mayRelease = activity.endpointsReportLoad()
                 || !recency.hasRecentResponse(endpoint, now)
                 || !freshness.isFresh(endpoint, request, now);
         boolean isLongDue = now - health.lastHealthCheckAt() > checker.costAdjusted(LONG_CHECK_INTERVAL_MICROS);
--- a/src/main/java/crankwick/routing/LatencyEstimates.java
+++ b/src/main/java/crankwick/routing/LatencyEstimates.java
@@ -17,7 +17,7 @@
     /** The ratio of an idle endpoint: the mean over the typical duration, which is a low quantile. */
     static final double BASELINE_LATENCY_RATIO = 1.8;
     /** Observed latencies fade over this time, so that an endpoint is tried again. */
-    static final long LATENCY_MEMORY_MICROS = 2 * MICROS_PER_SECOND;
+    static final long LATENCY_DECAY_MICROS = 2 * MICROS_PER_SECOND;
 
     /** A low quantile, so that overload hardly raises it. */
     private static final double TYPICAL_DURATION_QUANTILE = 0.3;
@@ -30,7 +30,7 @@
     private static final double ROLE_GAIN = 0.05;
 
     private final List<QuantileEstimate> typicalDurations = new ArrayList<>();
-    private final Map<Role, FadingMean> roleRatios = new EnumMap<>(Role.class);
+    private final Map<Role, DecayingMean> roleRatios = new EnumMap<>(Role.class);
 
     LatencyEstimates(List<RequestClass> requestClasses) {
         for (RequestClass requestClass : requestClasses) {
@@ -40,7 +40,7 @@
                     requestClass.latencyObjective() / INITIAL_OBJECTIVE_DIVISOR));
         }
         for (Role role : Role.values()) {
-            roleRatios.put(role, new FadingMean(ROLE_GAIN, BASELINE_LATENCY_RATIO, LATENCY_MEMORY_MICROS));
+            roleRatios.put(role, new DecayingMean(ROLE_GAIN, BASELINE_LATENCY_RATIO, LATENCY_DECAY_MICROS));
         }
     }
 
@@ -65,10 +65,10 @@
     /** The latency ratio that the endpoint's own responses show. */
     double observedRatio(EndpointState endpoint, long now) {
         if (endpoint.concurrency().inFlight() > 0) {
-            return endpoint.latency().last();
+            return endpoint.latency().lastRatio();
         }
-        double resting = endpoint.role() == Role.REPLICA ? roleRatio(endpoint.role(), now) : BASELINE_LATENCY_RATIO;
-        return endpoint.latency().fadingTo(resting, now);
+        double baseline = endpoint.role() == Role.REPLICA ? roleRatio(endpoint.role(), now) : BASELINE_LATENCY_RATIO;
+        return endpoint.latency().ratioDecayedTo(baseline, now);
     }
 
     /** The latency ratio to expect of the endpoint, by its responses or by its load report. */
--- a/src/main/java/crankwick/routing/OutlierDetector.java
+++ b/src/main/java/crankwick/routing/OutlierDetector.java
@@ -19,9 +19,9 @@
     private static final long INITIAL_EJECTION_MICROS = 400 * MICROS_PER_MILLI;
 
     private static final long MAX_EJECTION_MICROS = 4 * MICROS_PER_SECOND;
-    private static final long FAULT_MEMORY_MICROS = 10 * MICROS_PER_SECOND;
+    private static final long FAULT_TIME_CONSTANT_MICROS = 10 * MICROS_PER_SECOND;
 
-    private final DecayingCount recentFaults = new DecayingCount(FAULT_MEMORY_MICROS);
+    private final DecayingCount recentFaults = new DecayingCount(FAULT_TIME_CONSTANT_MICROS);
     private double failureRate;
     private long ejectedSince;
     private long ejectedUntil = AbsentValue.NONE;
--- a/src/main/java/crankwick/routing/PrimaryReadFallback.java
+++ b/src/main/java/crankwick/routing/PrimaryReadFallback.java
@@ -64,7 +64,7 @@
     }
 
     private boolean showsLoad(long now) {
-        return activity.reportsLoad()
+        return activity.endpointsReportLoad()
                 || !loadShedder.isLargeFleet()
                 || latency.roleRatio(Role.PRIMARY, now) <= LatencyEstimates.BASELINE_LATENCY_RATIO;
     }
--- a/src/main/java/crankwick/routing/ReplicationPosition.java
+++ b/src/main/java/crankwick/routing/ReplicationPosition.java
@@ -40,10 +40,10 @@
         return now - position;
     }
 
-    /** Whether replication may reach the required position within {@code horizon} from now. */
+    /** Whether replication may maxProgress the required position within {@code horizon} from now. */
     boolean mayReachWithin(long horizon, long required, long now) {
-        long reach = horizon + now - observedAt;
-        return required - position < reach;
+        long maxProgress = horizon + now - observedAt;
+        return required - position < maxProgress;
     }
 
     /**
@@ -51,8 +51,8 @@
      * last observation, or none if it was never observed.
      */
     boolean mayHaveReached(long required, long now) {
-        boolean lagsLittle = observedLag() < SMALL_LAG_MICROS;
-        long progress = Math.max(lagsLittle ? SMALL_LAG_MICROS : 0, now - observedAt);
+        boolean hadSmallLag = observedLag() < SMALL_LAG_MICROS;
+        long progress = Math.max(hadSmallLag ? SMALL_LAG_MICROS : 0, now - observedAt);
         boolean plausible = position == Long.MIN_VALUE || required - position < progress;
         return plausible && now - ineligibleAt > INELIGIBLE_BACKOFF_MICROS;
     }
--- a/src/main/java/crankwick/routing/ReportedLoad.java
+++ b/src/main/java/crankwick/routing/ReportedLoad.java
@@ -10,7 +10,7 @@
 final class ReportedLoad {
     private static final long RECENT_REPORT_MICROS = 300 * MICROS_PER_MILLI;
     /** The report's influence on the expected latency fades over this time. */
-    private static final long REPORT_MEMORY_MICROS = MICROS_PER_SECOND;
+    private static final long REPORT_DECAY_MICROS = MICROS_PER_SECOND;
     /** Requests that an endpoint executes in parallel. */
     private static final double PARALLEL_REQUESTS = 3;
     /** Typical durations that each queued request adds to a response. */
@@ -21,7 +21,7 @@
     private long reportedAt = NEVER;
 
     /** Whether a report tells how busy its endpoint is. */
-    static boolean isKnown(LoadReport report) {
+    static boolean includesLoad(LoadReport report) {
         return !Double.isNaN(queued(report)) || !Double.isNaN(report.utilization());
     }
 
@@ -52,6 +52,6 @@
     /** What the reported load adds to the latency of an idle endpoint, in typical durations. */
     double addedLatency(long now) {
         double added = utilization * utilization * utilization + queueLength * LATENCY_PER_QUEUED_REQUEST;
-        return FadingMean.remainingWeight(reportedAt, REPORT_MEMORY_MICROS, now) * added;
+        return DecayingMean.remainingWeight(reportedAt, REPORT_DECAY_MICROS, now) * added;
     }
 }
--- a/src/main/java/crankwick/routing/ResponseRecency.java
+++ b/src/main/java/crankwick/routing/ResponseRecency.java
@@ -6,13 +6,13 @@
 
 /** Decides which endpoints have responded recently enough to be sent requests without a health check. */
 final class ResponseRecency {
-    private static final long MIN_RECENCY_MICROS = 300 * MICROS_PER_MILLI;
+    private static final long MIN_RECENCY_WINDOW_MICROS = 300 * MICROS_PER_MILLI;
     /** A response counts as recent for so many mean intervals between responses of an endpoint. */
-    private static final double RESPONSE_INTERVALS = 4;
+    private static final double RECENCY_RESPONSE_INTERVALS = 4;
 
     private final RoutingLimits limits;
     private final HealthCheckBudget budget;
-    private long recencyMicros;
+    private long recencyWindowMicros;
 
     ResponseRecency(RoutingLimits limits, HealthCheckBudget budget) {
         this.limits = limits;
@@ -22,12 +22,13 @@
     /**
      * Adapts the recency to the rate of attempts, once per event. The more proxies share the work, the longer
      * each is without responses of healthy endpoints: a short recency would need a health check before nearly
-     * every read. It is bounded by the window in which attempts are counted.
+     * every read. It is bounded by the sendRateWindow in which attempts are counted.
      */
     void update(int endpoints, FleetActivity activity, long now) {
-        long window = FleetActivity.SEND_RATE_WINDOW_MICROS;
-        double span = RESPONSE_INTERVALS * endpoints * window / Math.max(1, activity.recentAttempts(now));
-        recencyMicros = Math.max(MIN_RECENCY_MICROS, (long) Math.min(window, span));
+        long sendRateWindow = FleetActivity.SEND_RATE_WINDOW_MICROS;
+        double recentInterval =
+                RECENCY_RESPONSE_INTERVALS * endpoints * sendRateWindow / Math.max(1, activity.recentAttempts(now));
+        recencyWindowMicros = Math.max(MIN_RECENCY_WINDOW_MICROS, (long) Math.min(sendRateWindow, recentInterval));
     }
 
     /**
@@ -39,15 +40,15 @@
         if (!limits.healthChecksAllowed()) {
             return true;
         }
-        boolean pendingTooLong = health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
-        return !pendingTooLong && (health.hasRespondedWithin(recency(endpoint), now) || budget.isExhausted());
+        boolean unresponsive = health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
+        return !unresponsive && (health.hasRespondedWithin(recencyWindow(endpoint), now) || budget.isExhausted());
     }
 
     /** A primary's stays short: a write sent to one that has stopped can't be cancelled. */
-    private long recency(EndpointState endpoint) {
+    private long recencyWindow(EndpointState endpoint) {
         if (endpoint != endpoint.group().primary()) {
-            return recencyMicros;
+            return recencyWindowMicros;
         }
-        return (long) Math.min(FleetActivity.SEND_RATE_WINDOW_MICROS, MIN_RECENCY_MICROS * budget.costFactor());
+        return (long) Math.min(FleetActivity.SEND_RATE_WINDOW_MICROS, MIN_RECENCY_WINDOW_MICROS * budget.costFactor());
     }
 }
--- a/src/test/java/crankwick/routing/EstimatesTest.java
+++ b/src/test/java/crankwick/routing/EstimatesTest.java
@@ -20,7 +20,7 @@
 
     @Test
     void meanFollowsSamplesByItsGainAndReturnsToRest() {
-        FadingMean mean = new FadingMean(0.5, 2, 1_000);
+        DecayingMean mean = new DecayingMean(0.5, 2, 1_000);
         assertEquals(2, mean.at(5_000));
         mean.add(4, 5_000);
         assertEquals(3, mean.at(5_000));
@@ -39,7 +39,7 @@
 
     @Test
     void firstAttemptTimeoutIsKnownFromThreeThatAgree() {
-        DeadlineEstimator estimator = new DeadlineEstimator(10);
+        ClientTimeoutEstimator estimator = new ClientTimeoutEstimator(10);
         for (int i = 0; i < 3; i++) {
             assertTrue(estimator.isFirstAttempt(500 + i));
         }
