--- a/src/main/java/crankwick/routing/ClassPriorities.java
+++ b/src/main/java/crankwick/routing/ClassPriorities.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The order in which request classes are served: by priority weight per time of their latency objective. */
+/** The order in which request classes are served: by priority weight divided by latency objective, descending. */
 final class ClassPriorities {
     private final List<Integer> servingOrder = new ArrayList<>();
     private final double maxPriorityWeight;
@@ -16,14 +16,15 @@
             max = Math.max(max, requestClasses.get(i).priorityWeight());
         }
         maxPriorityWeight = max;
-        servingOrder.sort((a, b) -> Double.compare(density(requestClasses.get(b)), density(requestClasses.get(a))));
+        servingOrder.sort((a, b) -> Double.compare(
+                weightPerObjectiveMicro(requestClasses.get(b)), weightPerObjectiveMicro(requestClasses.get(a))));
     }
 
-    private static double density(RequestClass requestClass) {
+    private static double weightPerObjectiveMicro(RequestClass requestClass) {
         return requestClass.priorityWeight() / requestClass.latencyObjective();
     }
 
-    /** The indices of the classes, the most important first. */
+    /** Returns the class indices, highest priority first. */
     List<Integer> servingOrder() {
         return servingOrder;
     }
