--- a/src/main/java/crankwick/routing/Router.java
+++ b/src/main/java/crankwick/routing/Router.java
@@ -169,7 +169,7 @@
     }
 
     /** The number of endpoints and groups that are kept, listed or not. */
-    int known() {
+    int retainedStateCount() {
         return registry.size();
     }
 }
--- a/src/test/java/crankwick/routing/EndpointUpdateTest.java
+++ b/src/test/java/crankwick/routing/EndpointUpdateTest.java
@@ -21,7 +21,7 @@
         long write = harness.request(RouterTestHarness.WRITE);
         assertTrue(harness.isRejected(read));
         assertTrue(harness.isRejected(write));
-        harness.listEndpoints("p", "r1");
+        harness.addEndpoints("p", "r1");
         assertTrue(harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)) != null);
     }
 
@@ -29,12 +29,12 @@
     void emptyListIsIgnoredWhereUnlistedEndpointsAreUsable() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.unlistedEndpointsUsable = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, List.of()));
         assertTrue(
                 harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)).startsWith("r"));
         assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.WRITE)));
-        RouterTestHarness bound = RouterTestHarness.withProxies(3);
+        RouterTestHarness bound = RouterTestHarness.withProxyCount(3);
         bound.handle(new EndpointUpdate(EndpointUpdateKind.FULL, List.of()));
         assertNull(
                 bound.sentTo(bound.request(RouterTestHarness.EVENTUAL_READ)),
@@ -45,7 +45,7 @@
     void removalAfterDrainingStillExcludesTheEndpoint() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.unlistedEndpointsUsable = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         harness.updateEndpoint("r1", EndpointStatus.DRAINING, 0);
         List<Endpoint> rest = List.of(harness.endpointList.get(0), harness.endpointList.get(2));
         harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, rest));
--- a/src/test/java/crankwick/routing/FaultToleranceTest.java
+++ b/src/test/java/crankwick/routing/FaultToleranceTest.java
@@ -16,7 +16,7 @@
 class FaultToleranceTest {
     @Test
     void repeatedTimeoutsLowerTheSelectionWeight() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         for (int i = 0; i < 4; i++) {
             harness.handle(new HealthCheckResult("r1", AttemptResult.TIMEOUT, 250 * MICROS_PER_MILLI, null));
         }
@@ -33,9 +33,9 @@
 
     @Test
     void oneTimeoutDoesNotEject() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
-        harness.respondsToHealthChecks("r1", Role.REPLICA);
-        harness.respondsToHealthChecks("r2", Role.REPLICA);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
+        harness.autoRespondToHealthChecks("r1", Role.REPLICA);
+        harness.autoRespondToHealthChecks("r2", Role.REPLICA);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.advance(1_900 * MICROS_PER_MILLI);
         harness.endAttempt(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
@@ -45,11 +45,11 @@
     @Test
     void lostReadsAreRetriedWithinTheBudgetAndWritesNever() {
         // Where most endpoints lose responses but pass health checks, waiting on misses the latency objective.
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         for (String endpoint : List.of("r1", "r2")) {
-            harness.respondsToHealthChecks(endpoint, Role.REPLICA);
+            harness.autoRespondToHealthChecks(endpoint, Role.REPLICA);
         }
-        harness.respondsToHealthChecks("p", Role.PRIMARY);
+        harness.autoRespondToHealthChecks("p", Role.PRIMARY);
         for (int i = 0; i < 300; i++) {
             harness.succeed(harness.request(RouterTestHarness.EVENTUAL_READ));
             harness.now += 20 * MICROS_PER_MILLI;
--- a/src/test/java/crankwick/routing/HealthCheckTest.java
+++ b/src/test/java/crankwick/routing/HealthCheckTest.java
@@ -24,14 +24,14 @@
 class HealthCheckTest {
     @Test
     void readAfterALongIdleTimeTriggersOneHealthCheck() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.advance(10_000 * MICROS_PER_MILLI);
         harness.actions.clear();
         long read = harness.request(RouterTestHarness.BOUNDED_READ);
         assertNull(harness.sentTo(read), "the last response is ten seconds old");
-        assertEquals(1, harness.pendingHealthChecks(), "one replica is checked, not all");
-        harness.respondsToHealthChecks("r1", Role.REPLICA);
-        harness.respondsToHealthChecks("r2", Role.REPLICA);
+        assertEquals(1, harness.pendingHealthCheckCount(), "one replica is checked, not all");
+        harness.autoRespondToHealthChecks("r1", Role.REPLICA);
+        harness.autoRespondToHealthChecks("r2", Role.REPLICA);
         harness.advance(10 * MICROS_PER_MILLI);
         assertTrue(harness.sentTo(read).startsWith("r"));
     }
@@ -44,19 +44,19 @@
         RouterTestHarness harness = new RouterTestHarness(settings.build());
         String[] replicas = new String[30];
         Arrays.setAll(replicas, i -> "r" + i);
-        harness.listEndpoints(replicas);
+        harness.addEndpoints(replicas);
         for (String replica : replicas) {
-            harness.respondsToHealthChecks(replica, Role.REPLICA);
+            harness.autoRespondToHealthChecks(replica, Role.REPLICA);
             harness.reportHealth(replica, Role.REPLICA, harness.now);
         }
-        harness.healthChecks = 0;
+        harness.healthChecksSent = 0;
         for (int i = 0; i < 200; i++) {
             long read = harness.request(RouterTestHarness.EVENTUAL_READ);
             assertNotNull(harness.sentTo(read), "read " + i + " is queued");
             harness.succeed(read);
             harness.advance(50 * MICROS_PER_MILLI);
         }
-        assertTrue(harness.healthChecks <= 20, "health checks for 200 reads: " + harness.healthChecks);
+        assertTrue(harness.healthChecksSent <= 20, "health checks for 200 reads: " + harness.healthChecksSent);
     }
 
     @Test
@@ -64,18 +64,18 @@
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.proxyCount = 300;
         settings.healthCheckCost = 0.3;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
-        harness.respondsToHealthChecks("r1", Role.REPLICA);
-        harness.respondsToHealthChecks("r2", Role.REPLICA);
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
+        harness.autoRespondToHealthChecks("r1", Role.REPLICA);
+        harness.autoRespondToHealthChecks("r2", Role.REPLICA);
         for (int i = 0; i < 60; i++) {
             harness.commitWrite(5, harness.now + 900 * MICROS_PER_MILLI);
             harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
             harness.advance(1_300 * MICROS_PER_MILLI);
         }
         harness.advance(20_000 * MICROS_PER_MILLI);
-        harness.healthChecks = 0;
+        harness.healthChecksSent = 0;
         assertNotNull(harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
-        assertEquals(0, harness.healthChecks, "none is earned");
+        assertEquals(0, harness.healthChecksSent, "none is earned");
     }
 
     @Test
@@ -100,21 +100,21 @@
             settings.staleReadPolicy = policy;
             settings.proxyCount = 300;
             RouterTestHarness harness = new RouterTestHarness(settings.build());
-            harness.listEndpoints("r1", "r2");
+            harness.addEndpoints("r1", "r2");
             long read = harness.request(RouterTestHarness.BOUNDED_READ);
             boolean attempted = policy != StaleReadPolicy.SERVE;
             assertEquals(attempted, harness.sentTo(read) != null, policy.toString());
-            assertEquals(attempted ? 0 : 1, harness.healthChecks, policy.toString());
+            assertEquals(attempted ? 0 : 1, harness.healthChecksSent, policy.toString());
         }
     }
 
     @Test
     void writeIsNotSentToAnUnresponsivePrimary() {
         // Non-idempotent writes stayed in hung primaries until their clients gave up.
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.advance(10_000 * MICROS_PER_MILLI);
         long write = harness.request(RouterTestHarness.WRITE);
-        harness.respondsToHealthChecks("r2", Role.PRIMARY);
+        harness.autoRespondToHealthChecks("r2", Role.PRIMARY);
         harness.advance(100 * MICROS_PER_MILLI);
         assertEquals("r2", harness.sentTo(write), "the successor claims the role, p does not respond");
     }
@@ -122,7 +122,7 @@
     @Test
     void idleRouterSetsNoTimerAndChecksNothing() {
         // Periodic health checks of an idle proxy are a cost without use.
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.succeed(read);
         harness.advance(500 * MICROS_PER_MILLI);
@@ -133,21 +133,21 @@
 
     @Test
     void healthChecksAreEarnedByRequests() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.commitWrite(5, harness.now + 60_000 * MICROS_PER_MILLI);
         for (int i = 0; i < 100; i++) {
             harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
             for (String endpoint : List.of("p", "r1", "r2")) {
-                harness.respondsToHealthChecks(endpoint, Role.REPLICA);
+                harness.autoRespondToHealthChecks(endpoint, Role.REPLICA);
             }
             harness.advance(100 * MICROS_PER_MILLI);
         }
-        assertTrue(harness.healthChecks <= 40 + 1.5 * 101, "health checks: " + harness.healthChecks);
+        assertTrue(harness.healthChecksSent <= 40 + 1.5 * 101, "health checks: " + harness.healthChecksSent);
     }
 
     @Test
     void healthCheckWithoutAReportMakesTheReplicaUsable() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.advance(1_000 * MICROS_PER_MILLI);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (String endpoint : List.of("r1", "r2")) {
@@ -158,7 +158,7 @@
 
     @Test
     void unreachableListedEndpointIsNotAttempted() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.endpointList.add(RouterTestHarness.endpoint("r9", EndpointStatus.LIVE, 0));
         harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, harness.endpointList));
         harness.handle(new HealthCheckResult("r9", AttemptResult.UNREACHABLE, MICROS_PER_MILLI, null));
@@ -174,7 +174,7 @@
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.proxyCount = 300;
         RouterTestHarness harness = new RouterTestHarness(settings.build());
-        harness.listEndpoints("r1", "r2");
+        harness.addEndpoints("r1", "r2");
         for (int i = 0; i < 40; i++) {
             harness.reportHealth("r1", Role.REPLICA, harness.now, load, load);
             harness.reportHealth("r2", Role.REPLICA, harness.now, load, load);
@@ -192,17 +192,17 @@
                         null));
             }
         }
-        harness.healthChecks = 0;
+        harness.healthChecksSent = 0;
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.advance(200 * MICROS_PER_MILLI);
         assertNull(harness.sentTo(read));
-        return harness.healthChecks;
+        return harness.healthChecksSent;
     }
 
     private static long timeToFirstHealthCheck(double healthCheckCost) {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.healthCheckCost = healthCheckCost;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         while (!harness.isHealthCheckPending(harness.sentTo(read))
                 && harness.now < RouterTestHarness.START + 2_000 * MICROS_PER_MILLI) {
--- a/src/test/java/crankwick/routing/LargeFleetTest.java
+++ b/src/test/java/crankwick/routing/LargeFleetTest.java
@@ -29,13 +29,13 @@
         settings.staleReadPolicy = StaleReadPolicy.WAIT;
         settings.sessionTokensCarried = true;
         settings.proxyCount = 300;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         harness.now += 2_000 * MICROS_PER_MILLI;
         assertNotNull(
                 harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, 800 * MICROS_PER_MILLI)),
                 "it had reached that commit at its last report");
         RouterTestHarness behind = new RouterTestHarness(settings.build());
-        behind.listEndpoints("r1");
+        behind.addEndpoints("r1");
         behind.reportHealth("r1", Role.REPLICA, behind.now - 600 * MICROS_PER_MILLI);
         behind.now += 2_000 * MICROS_PER_MILLI;
         assertNull(
@@ -52,7 +52,7 @@
         RouterTestHarness harness = new RouterTestHarness(settings.build());
         String[] replicas = new String[30];
         Arrays.setAll(replicas, i -> "r" + i);
-        harness.listEndpoints(replicas);
+        harness.addEndpoints(replicas);
         long read = AbsentValue.NONE;
         for (int i = 0; i < 120 && (i == 0 || harness.sentTo(read) != null); i++) {
             harness.reportHealth(replicas[i % 30], Role.REPLICA, harness.now, Double.NaN, Double.NaN);
@@ -117,7 +117,7 @@
 
     @Test
     void reportedQueueShiftsReadsToTheOtherReplica() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.reportHealth("r1", Role.REPLICA, harness.now, 20, 1);
         for (int i = 0; i < 20; i++) {
             long read = harness.request(RouterTestHarness.EVENTUAL_READ);
@@ -128,7 +128,7 @@
 
     @Test
     void freshReadUsesAnIdlePrimaryWhileReplicasAreFull() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(90);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(90);
         harness.reportHealth("r1", Role.REPLICA, harness.now, 40, 1);
         harness.reportHealth("r2", Role.REPLICA, harness.now, 40, 1);
         assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
@@ -144,7 +144,7 @@
 
     @Test
     void clientRetryThatWouldBeLateIsRejectedImmediately() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         long deadline = 2_000 * MICROS_PER_MILLI;
         List<Long> ids = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -164,7 +164,7 @@
 
     @Test
     void requestWithTooShortADeadlineIsRejectedUnsent() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         long id = harness.requestExpiringAt(RouterTestHarness.EVENTUAL_READ, harness.now + 40 * MICROS_PER_MILLI);
         assertTrue(harness.isRejected(id));
         assertNull(harness.sentTo(id));
@@ -195,7 +195,7 @@
 
     @Test
     void groupInSlowStartIsServedByTheCapacityOfOtherGroups() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(1);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(1);
         harness.handle(new EndpointUpdate(
                 EndpointUpdateKind.INCREMENTAL,
                 List.of(new Endpoint("c1", 0, 2, Role.UNKNOWN, EndpointStatus.LIVE, harness.now))));
--- a/src/test/java/crankwick/routing/LoadSheddingTest.java
+++ b/src/test/java/crankwick/routing/LoadSheddingTest.java
@@ -16,7 +16,7 @@
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.healthChecksAllowed = false;
         RouterTestHarness harness = new RouterTestHarness(settings.build());
-        harness.listEndpoints("r1");
+        harness.addEndpoints("r1");
         for (int i = 0; i < 20; i++) {
             long id = harness.request(RouterTestHarness.EVENTUAL_READ);
             (harness.sentTo(id) != null ? sent : queued).add(id);
--- a/src/test/java/crankwick/routing/PrimaryTest.java
+++ b/src/test/java/crankwick/routing/PrimaryTest.java
@@ -22,7 +22,7 @@
     @Test
     void oneWriteAttemptsEachEndpointOnceForAnUnknownPrimary() {
         RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
-        harness.listEndpoints("a", "b", "c");
+        harness.addEndpoints("a", "b", "c");
         long write = harness.request(RouterTestHarness.WRITE);
         long second = harness.request(RouterTestHarness.WRITE);
         for (int i = 1; i <= 3; i++) {
@@ -39,7 +39,7 @@
 
     @Test
     void newestPrimaryClaimWinsOverAnOldReport() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long old = harness.now;
         harness.reportHealth("r1", Role.PRIMARY, harness.now + 400 * MICROS_PER_MILLI);
         harness.reportHealth("p", Role.PRIMARY, old);
@@ -48,7 +48,7 @@
 
     @Test
     void writesAreQueuedWhileThePrimaryIsDownAndRejectedInTime() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long write = harness.request(RouterTestHarness.WRITE);
         harness.endAttempt(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         harness.advance(1_500 * MICROS_PER_MILLI);
@@ -61,7 +61,7 @@
     void ejectedPrimaryIsReadmittedByATrial() {
         // Incident if9b0f8: an ejected primary was never sent a request again.
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         for (int i = 0; i < 6; i++) {
             long write = harness.request(RouterTestHarness.WRITE);
             if (harness.sentTo(write) != null) {
@@ -71,7 +71,7 @@
         assertTrue(harness.actions.contains("log p ejected: failure rate"));
         long queued = harness.request(RouterTestHarness.WRITE);
         assertNull(harness.sentTo(queued));
-        harness.respondsToHealthChecks("p", Role.PRIMARY);
+        harness.autoRespondToHealthChecks("p", Role.PRIMARY);
         harness.advance(1_000 * MICROS_PER_MILLI);
         assertEquals("p", harness.sentTo(queued));
         harness.endAttempt(queued, AttemptResult.OK, Role.PRIMARY, harness.now);
@@ -81,7 +81,7 @@
     /** Otherwise an endpoint ejected before its restart that then became primary got only trials for seconds. */
     @Test
     void restartClearsAnEjection() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         for (int i = 0; i < 6; i++) {
             long write = harness.request(RouterTestHarness.WRITE);
             if (harness.sentTo(write) != null) {
@@ -100,7 +100,7 @@
 
     @Test
     void drainingPrimaryGetsNoWriteButItsSuccessorDoes() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("p", EndpointStatus.DRAINING, 0);
         long write = harness.request(RouterTestHarness.WRITE);
         assertNull(harness.sentTo(write));
@@ -110,7 +110,7 @@
 
     @Test
     void readsMayUseThePrimaryOnlyWhenEveryReplicaIsLost() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r1", EndpointStatus.REMOVED, 0);
         assertEquals("r2", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
@@ -121,7 +121,7 @@
     void discoveryWatchIsRenewedAfterAFailure() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.pollsDiscovery = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         assertTrue(harness.actions.contains("timer 0"));
         harness.handle(new TimerFired(0));
         assertEquals(1, harness.actions.stream().filter("watch"::equals).count());
@@ -137,7 +137,7 @@
     }
 
     private static java.util.List<String> recordedActions() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         for (int i = 0; i < 200; i++) {
             long id = harness.request(i % 5, i % 7, AbsentValue.NONE);
             harness.advance(10 * MICROS_PER_MILLI);
--- a/src/test/java/crankwick/routing/ReadPathTest.java
+++ b/src/test/java/crankwick/routing/ReadPathTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void sessionReadGoesToReplicaThatReachedItsToken() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
         harness.reportHealth("r2", Role.REPLICA, commit);
@@ -31,7 +31,7 @@
 
     @Test
     void replicaOneMicrosecondBehindTheTokenDoesNotServe() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
         harness.reportHealth("r2", Role.REPLICA, commit - 1);
@@ -40,7 +40,7 @@
 
     @Test
     void knownPositionNeverGoesBack() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
         harness.reportHealth("r1", Role.REPLICA, commit);
@@ -50,7 +50,7 @@
 
     @Test
     void otherSessionsAreNotBoundByTheToken() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now);
         assertNotEquals("p", harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 6, AbsentValue.NONE)));
     }
@@ -59,7 +59,7 @@
     void carriedTokenIsNowMinusItsAge() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.sessionTokensCarried = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         long known = harness.now + 10 * MICROS_PER_MILLI;
         harness.reportHealth("r1", Role.REPLICA, known);
         harness.now = known + 40 * MICROS_PER_MILLI;
@@ -71,7 +71,7 @@
 
     @Test
     void requiredPositionOfBoundedReadAdvancesWithTime() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long level = harness.now;
         harness.reportHealth("r1", Role.REPLICA, level);
         harness.reportHealth("r2", Role.REPLICA, level);
@@ -87,7 +87,7 @@
     void positionInAResponseCountsLikeAReport() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.responsesCarryPosition = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
         long any = harness.request(RouterTestHarness.EVENTUAL_READ);
@@ -99,7 +99,7 @@
     @Test
     void replicaOfUnknownPositionServesOnlyEventualReads() {
         RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
-        harness.listEndpoints("r1", "r2");
+        harness.addEndpoints("r1", "r2");
         assertNull(harness.sentTo(harness.request(RouterTestHarness.BOUNDED_READ)));
         assertTrue(
                 harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)).startsWith("r"));
@@ -107,14 +107,14 @@
 
     @Test
     void strongReadsAndWritesGoToThePrimaryOnly() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.STRONG_READ)));
         assertEquals("p", harness.sentTo(harness.request(RouterTestHarness.WRITE)));
     }
 
     @Test
     void readThatNoReplicaCanServeIsRejectedWithRetryAfter() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now + 10_000 * MICROS_PER_MILLI);
         long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
         for (int i = 0; i < 30; i++) {
@@ -136,7 +136,7 @@
 
     @Test
     void queuedReadIsReleasedByTheNextHealthCheck() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
         long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
@@ -147,7 +147,7 @@
 
     @Test
     void oneHealthCheckServesAllQueuedReads() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now);
         for (int i = 0; i < 20; i++) {
             harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
@@ -161,7 +161,7 @@
     @Test
     void replicaFarBehindIsCheckedRarely() {
         // Incident ia21758: with every replica seconds behind, frequent health checks cost a tenth of the service.
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now + 5_000 * MICROS_PER_MILLI);
         harness.actions.clear();
         harness.handle(new TimerFired(2));
@@ -183,7 +183,7 @@
 
     @Test
     void releasedReadsAreLimitedByConcurrency() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
         for (int i = 0; i < 40; i++) {
@@ -204,7 +204,7 @@
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.staleReadPolicy = StaleReadPolicy.REJECT;
         settings.sessionTokensCarried = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         harness.now += 100 * MICROS_PER_MILLI;
         harness.reportHealth("r1", Role.REPLICA, harness.now - 20 * MICROS_PER_MILLI);
         harness.reportHealth("r2", Role.REPLICA, harness.now - 20 * MICROS_PER_MILLI);
@@ -223,7 +223,7 @@
 
     @Test
     void sessionsEvictedFromTheTokenStoreNeverReadStale() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long first = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(0, first);
         for (int session = 1; session <= 20_000; session++) {
--- a/src/test/java/crankwick/routing/RouterTestHarness.java
+++ b/src/test/java/crankwick/routing/RouterTestHarness.java
@@ -53,10 +53,10 @@
     final Router router;
     long now = START;
     /** The number of health checks so far. */
-    int healthChecks;
+    int healthChecksSent;
 
     private final List<Timer> timers = new ArrayList<>();
-    private final Map<String, Role> healthCheckResponders = new TreeMap<>();
+    private final Map<String, Role> autoResponders = new TreeMap<>();
     private long nextRequestId = 1;
 
     private record Timer(long dueAt, long id) {}
@@ -74,15 +74,15 @@
         return new RouterTestHarness(new SettingsBuilder().build());
     }
 
-    /** A harness with the default settings; see {@link #withKnownGroup(RoutingSettings)}. */
-    static RouterTestHarness withKnownGroup() {
-        return withKnownGroup(new SettingsBuilder().build());
+    /** A harness with the default settings; see {@link #withHealthyGroup(RoutingSettings)}. */
+    static RouterTestHarness withHealthyGroup() {
+        return withHealthyGroup(new SettingsBuilder().build());
     }
 
     /** A harness with primary p and replicas r1, r2 in group 1, all known to be level with the present. */
-    static RouterTestHarness withKnownGroup(RoutingSettings settings) {
+    static RouterTestHarness withHealthyGroup(RoutingSettings settings) {
         RouterTestHarness harness = new RouterTestHarness(settings);
-        harness.listEndpoints("p", "r1", "r2");
+        harness.addEndpoints("p", "r1", "r2");
         harness.reportHealth("p", Role.PRIMARY, harness.now);
         harness.reportHealth("r1", Role.REPLICA, harness.now);
         harness.reportHealth("r2", Role.REPLICA, harness.now);
@@ -90,14 +90,14 @@
     }
 
     /** A harness with the default settings but for the number of proxies. */
-    static RouterTestHarness withProxies(int proxyCount) {
+    static RouterTestHarness withProxyCount(int proxyCount) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.proxyCount = proxyCount;
-        return withKnownGroup(settings.build());
+        return withHealthyGroup(settings.build());
     }
 
     /** Adds endpoints to the endpoint list and has it delivered in full. */
-    void listEndpoints(String... ids) {
+    void addEndpoints(String... ids) {
         for (String id : ids) {
             endpointList.add(endpoint(id, EndpointStatus.LIVE, 0));
         }
@@ -125,12 +125,12 @@
     }
 
     /** From now on this endpoint passes each health check at the next step, level with the present. */
-    void respondsToHealthChecks(String id, Role role) {
-        healthCheckResponders.put(id, role);
+    void autoRespondToHealthChecks(String id, Role role) {
+        autoResponders.put(id, role);
     }
 
-    private void respondToHealthChecks() {
-        healthCheckResponders.forEach((id, role) -> {
+    private void respondToPendingHealthChecks() {
+        autoResponders.forEach((id, role) -> {
             if (isHealthCheckPending(id)) {
                 reportHealth(id, role, now);
             }
@@ -141,7 +141,7 @@
         return actions.contains("check " + id);
     }
 
-    long pendingHealthChecks() {
+    long pendingHealthCheckCount() {
         return actions.stream().filter(a -> a.startsWith("check ")).count();
     }
 
@@ -154,7 +154,7 @@
                     timers.stream().filter(timer -> timer.dueAt() <= now).toList();
             timers.removeAll(due);
             due.forEach(timer -> handle(new TimerFired(timer.id())));
-            respondToHealthChecks();
+            respondToPendingHealthChecks();
         }
     }
 
@@ -255,7 +255,7 @@
     @Override
     public void checkHealth(String endpoint) {
         actions.add("check " + endpoint);
-        healthChecks++;
+        healthChecksSent++;
     }
 
     @Override
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -36,20 +36,20 @@
     /** Guards against memory that grows with every endpoint ever listed and every group ever requested. */
     @Test
     void expiredEndpointsAndUnknownGroupsAreNotRetained() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         for (int i = 0; i < 200; i++) {
             harness.updateEndpoint("s" + i, EndpointStatus.LIVE, 0);
             harness.updateEndpoint("s" + (i - 3), EndpointStatus.REMOVED, 0);
             assertTrue(harness.isRejected(harness.requestToGroup(1_000 + i, RouterTestHarness.BOUNDED_READ)));
             harness.advance(1_000 * MICROS_PER_MILLI);
         }
-        assertTrue(harness.router.known() < 50, "retained: " + harness.router.known());
+        assertTrue(harness.router.retainedStateCount() < 50, "retained: " + harness.router.retainedStateCount());
     }
 
     @ParameterizedTest
     @EnumSource(value = AttemptResult.class, names = "OK", mode = EnumSource.Mode.EXCLUDE)
     void nonIdempotentWriteIsRetriedOrRejectedOnlyIfNotExecuted(AttemptResult result) {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long write = harness.request(RouterTestHarness.WRITE);
         harness.endAttempt(write, result, Role.UNKNOWN, AbsentValue.NONE);
         harness.advance(3_000 * MICROS_PER_MILLI);
@@ -65,7 +65,7 @@
 
     @Test
     void possiblyExecutedWriteWithKeyIsNeverRejectedUnderNarrowScope() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long write = harness.request(RouterTestHarness.WRITE_WITH_KEY);
         harness.endAttempt(write, AttemptResult.RESET, Role.UNKNOWN, AbsentValue.NONE);
         assertEquals(2, harness.attempts(write), "its retry is deduplicated within the group");
@@ -89,7 +89,7 @@
 
     @Test
     void timeoutAtTheDeadlineIsAnsweredImmediately() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.now += 2_000 * MICROS_PER_MILLI;
         harness.endAttempt(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
@@ -98,7 +98,7 @@
 
     @Test
     void abandonedRequestIsNotRetried() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.handle(new RequestAbandoned(read));
         harness.endAttempt(read, AttemptResult.ERROR, Role.UNKNOWN, AbsentValue.NONE);
@@ -109,7 +109,7 @@
 
     @Test
     void eventsOfUnknownRequestsAndEndpointsAreIgnored() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         int before = harness.actions.size();
         harness.handle(
                 new AttemptOutcome(77, 0, false, AttemptResult.OK, MICROS_PER_MILLI, "r1", Role.REPLICA, 5, null));
@@ -123,7 +123,7 @@
     @ParameterizedTest
     @EnumSource(value = EndpointStatus.class, names = "LIVE", mode = EnumSource.Mode.EXCLUDE)
     void drainingOrRemovedEndpointGetsNoNewRequest(EndpointStatus status) {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r1", status, 0);
         for (int i = 0; i < 20; i++) {
             long id = harness.request(RouterTestHarness.EVENTUAL_READ);
@@ -134,7 +134,7 @@
 
     @Test
     void endpointMissingFromAFullListIsRemoved() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         List<Endpoint> rest = List.of(harness.endpointList.get(0), harness.endpointList.get(2));
         harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, rest));
         assertEquals("r2", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
@@ -144,7 +144,7 @@
     void unlistedEndpointIsUsableUnlessItWasDraining() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.unlistedEndpointsUsable = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         harness.updateEndpoint("r1", EndpointStatus.REMOVED, 0);
         harness.updateEndpoint("r2", EndpointStatus.DRAINING, 0);
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
@@ -174,7 +174,7 @@
 
     @Test
     void responseAfterAConnectionFailureBeginsSlowStart() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.endAttempt(read, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
@@ -184,7 +184,7 @@
 
     @Test
     void idempotentReadOnUnresponsiveEndpointIsCancelledBeforeRetry() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         String first = harness.sentTo(read);
         harness.advance(700 * MICROS_PER_MILLI);
@@ -217,7 +217,7 @@
 
     @Test
     void sessionReadAvoidsAFormerPrimaryBehindItsToken() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now + 5 * MICROS_PER_MILLI);
         harness.reportHealth("r1", Role.PRIMARY, harness.now + 100 * MICROS_PER_MILLI);
         long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
@@ -231,7 +231,7 @@
         settings.proxyCount = 12;
         settings.healthChecksAllowed = false;
         RouterTestHarness harness = new RouterTestHarness(settings.build());
-        harness.listEndpoints("r1");
+        harness.addEndpoints("r1");
         for (int i = 0; i < 30; i++) {
             long id = harness.request(RouterTestHarness.EVENTUAL_READ);
             if (harness.sentTo(id) != null) {
@@ -258,7 +258,7 @@
     @Test
     void longRequestIsNotCancelledWhileHealthChecksPass() {
         // Incident i6aa7ab: with few requests at each endpoint, one long request ejected a healthy one.
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 24; i++) {
             harness.advance(25 * MICROS_PER_MILLI);
@@ -275,7 +275,7 @@
     @Test
     void responsesToEarlierAttemptsDoNotReadmitAnOutlier() {
         // Incident h25ee0b: responses to old attempts readmitted an outlier many times a second.
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
         long earlier = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 5; i++) {
