--- a/src/main/java/crankwick/app/OperatorConfig.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -120,19 +120,19 @@
         table.requireKnownKeys(FAILOVER_KEYS);
         FailoverSettings defaults = FailoverSettings.DEFAULT;
         return new FailoverSettings(
-                (int) table.integer("held_per_group", defaults.bufferedPerGroup()),
-                (int) table.integer("held_per_team", defaults.bufferedPerTeam()),
-                table.integer("held_bytes_per_group", defaults.bytesPerGroup()),
-                table.integer("held_bytes_per_team", defaults.bytesPerTeam()),
+                (int) table.integer("held_per_group", defaults.maxBufferedPerGroup()),
+                (int) table.integer("held_per_team", defaults.maxBufferedPerTeam()),
+                table.integer("held_bytes_per_group", defaults.maxBytesPerGroup()),
+                table.integer("held_bytes_per_team", defaults.maxBytesPerTeam()),
                 table.number("hope_least", defaults.minSuccessProbability()),
                 (int) table.integer("start_window", defaults.initialWindow()),
                 table.micros("key_margin_ms", defaults.keyMargin()),
                 (int) table.integer("keys", defaults.maxKeys()),
                 table.micros("key_memory_ms", defaults.keyRetention()),
-                table.micros("unplanned_least_ms", defaults.unplannedMin()),
-                table.micros("unplanned_most_ms", defaults.unplannedMax()),
-                table.micros("planned_least_ms", defaults.plannedMin()),
-                table.micros("planned_most_ms", defaults.plannedMax()));
+                table.micros("unplanned_least_ms", defaults.minUnplannedDuration()),
+                table.micros("unplanned_most_ms", defaults.maxUnplannedDuration()),
+                table.micros("planned_least_ms", defaults.minPlannedDuration()),
+                table.micros("planned_most_ms", defaults.maxPlannedDuration()));
     }
 
     private static Contract contract(ConfigTable team, List<String> classNames) {
--- a/src/main/java/crankwick/broker/FailoverActionHandler.java
+++ b/src/main/java/crankwick/broker/FailoverActionHandler.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public void failUnknownOutcome(long requestId) {
+    public void failWithUnknownOutcome(long requestId) {
         answer(requestId, new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
     }
 
--- a/src/main/java/crankwick/broker/FailoverGate.java
+++ b/src/main/java/crankwick/broker/FailoverGate.java
@@ -1,11 +1,11 @@
 package crankwick.broker;
 
-import crankwick.failover.ArrivingRequest;
 import crankwick.failover.AttemptObservation;
 import crankwick.failover.AttemptPermit;
 import crankwick.failover.FailoverActions;
 import crankwick.failover.FailoverAdmission;
 import crankwick.failover.FailoverCoordinator;
+import crankwick.failover.IncomingRequest;
 import crankwick.routing.api.AbsentValue;
 import crankwick.routing.api.AttemptResult;
 import crankwick.routing.api.Endpoint;
@@ -31,7 +31,7 @@
         if (coordinator == null) {
             return FailoverAdmission.ADMIT;
         }
-        ArrivingRequest arrival = new ArrivingRequest(
+        IncomingRequest arrival = new IncomingRequest(
                 request.requestId(),
                 request.groupId(),
                 request.team(),
@@ -59,7 +59,7 @@
 
     void onCompleted(long requestId) {
         if (coordinator != null) {
-            coordinator.onAnswered(requestId);
+            coordinator.onRequestCompleted(requestId);
         }
     }
 
--- a/src/main/java/crankwick/failover/FailoverActions.java
+++ b/src/main/java/crankwick/failover/FailoverActions.java
@@ -9,7 +9,7 @@
     void reject(long requestId, long retryAfter);
 
     /** Answers a request: failed, because it may have executed and its key's window is over. */
-    void failUnknownOutcome(long requestId);
+    void failWithUnknownOutcome(long requestId);
 
     /** Cancels the attempt in flight at a leader that has been replaced. */
     void cancelAttempt(long requestId);
--- a/src/main/java/crankwick/failover/FailoverCoordinator.java
+++ b/src/main/java/crankwick/failover/FailoverCoordinator.java
@@ -59,7 +59,7 @@
     }
 
     /** Decides on a request that has been received; if it is not admitted, the caller answers it. */
-    public FailoverAdmission admit(ArrivingRequest request, long now) {
+    public FailoverAdmission admit(IncomingRequest request, long now) {
         return requests.admit(request, now);
     }
 
@@ -85,8 +85,8 @@
     }
 
     /** A request has its final answer, or its caller has left. */
-    public void onAnswered(long requestId) {
-        requests.onAnswered(requestId);
+    public void onRequestCompleted(long requestId) {
+        requests.onRequestCompleted(requestId);
     }
 
     /** Decides for one group, after an event that concerns it. */
@@ -136,7 +136,7 @@
     }
 
     /** Keys remembered now. */
-    public int rememberedKeys() {
+    public int trackedKeys() {
         return keys.size();
     }
 
--- a/src/main/java/crankwick/failover/FailoverDecisions.java
+++ b/src/main/java/crankwick/failover/FailoverDecisions.java
@@ -42,7 +42,7 @@
     private void beginTerm(GroupState group, long now, FailoverActions actions) {
         Leadership leadership = group.leadership();
         boolean first = group.handledTerm() == 0;
-        boolean planned = !first && leadership.planned();
+        boolean planned = !first && leadership.isFailoverPlanned();
         group.setHandledTerm(leadership.term());
         group.releaseWindow().reset(settings.initialWindow());
         if (!first) {
@@ -81,14 +81,14 @@
                     && request.mayHaveExecuted()
                     && !requests.isRecoveryLikely(request, now)) {
                 counters.keyWindowsExpired++;
-                actions.failUnknownOutcome(request.requestId());
+                actions.failWithUnknownOutcome(request.requestId());
             }
         }
     }
 
     private void deny(TrackedRequest request, long now, FailoverActions actions) {
         if (request.hasUnknownOutcome()) {
-            actions.failUnknownOutcome(request.requestId());
+            actions.failWithUnknownOutcome(request.requestId());
         } else {
             long retryAfter = retryAfter(request.group(), request.arrival().classIndex(), now);
             actions.reject(request.requestId(), retryAfter);
--- a/src/main/java/crankwick/failover/GroupState.java
+++ b/src/main/java/crankwick/failover/GroupState.java
@@ -19,8 +19,8 @@
     GroupState(long id, FailoverSettings settings, Map<String, RequestBuffer.TeamUsage> teamUsage) {
         this.id = id;
         buffer = new RequestBuffer(settings, teamUsage);
-        plannedDurations = new FailoverDurations(settings.plannedMin(), settings.plannedMax());
-        unplannedDurations = new FailoverDurations(settings.unplannedMin(), settings.unplannedMax());
+        plannedDurations = new FailoverDurations(settings.minPlannedDuration(), settings.maxPlannedDuration());
+        unplannedDurations = new FailoverDurations(settings.minUnplannedDuration(), settings.maxUnplannedDuration());
     }
 
     long id() {
@@ -45,7 +45,7 @@
 
     /** The durations of failovers of the kind that the last one was. */
     FailoverDurations durations() {
-        return leadership.planned() ? plannedDurations : unplannedDurations;
+        return leadership.isFailoverPlanned() ? plannedDurations : unplannedDurations;
     }
 
     void endpointAdded() {
--- a/src/main/java/crankwick/failover/ArrivingRequest.java
+++ b/src/main/java/crankwick/failover/IncomingRequest.java
@@ -6,7 +6,7 @@
  * @param idempotencyKey its idempotency key; null for none
  * @param statementBytes the length of its statement
  */
-public record ArrivingRequest(
+public record IncomingRequest(
         long requestId,
         long groupId,
         String team,
--- a/src/main/java/crankwick/failover/Leadership.java
+++ b/src/main/java/crankwick/failover/Leadership.java
@@ -230,7 +230,7 @@
     }
 
     /** True if the last failover began with the leader's delisting. */
-    public boolean planned() {
+    public boolean isFailoverPlanned() {
         return planned;
     }
 
--- a/src/main/java/crankwick/failover/RequestBuffer.java
+++ b/src/main/java/crankwick/failover/RequestBuffer.java
@@ -48,10 +48,10 @@
     /** Adds a request; false if one of the limits forbids it. */
     boolean add(BufferedRequest request) {
         TeamUsage usage = teamUsage.computeIfAbsent(request.team(), team -> new TeamUsage());
-        boolean hasCapacity = byRequestId.size() < settings.bufferedPerGroup()
-                && bytes + request.statementBytes() <= settings.bytesPerGroup()
-                && usage.requests < settings.bufferedPerTeam()
-                && usage.bytes + request.statementBytes() <= settings.bytesPerTeam();
+        boolean hasCapacity = byRequestId.size() < settings.maxBufferedPerGroup()
+                && bytes + request.statementBytes() <= settings.maxBytesPerGroup()
+                && usage.requests < settings.maxBufferedPerTeam()
+                && usage.bytes + request.statementBytes() <= settings.maxBytesPerTeam();
         if (hasCapacity) {
             usage.requests++;
             usage.bytes += request.statementBytes();
--- a/src/main/java/crankwick/failover/RequestTracker.java
+++ b/src/main/java/crankwick/failover/RequestTracker.java
@@ -44,7 +44,7 @@
     }
 
     /** Decides on a request that has been received. */
-    FailoverAdmission admit(ArrivingRequest arrival, long now) {
+    FailoverAdmission admit(IncomingRequest arrival, long now) {
         RequestClass requestClass = routing.requestClasses().get(arrival.classIndex());
         GroupState group = groups.group(arrival.groupId());
         if (group == null || !needsPrimary(requestClass)) {
@@ -73,7 +73,7 @@
                 || requestClass.consistency() == ConsistencyLevel.STRONG;
     }
 
-    private TrackedRequest newRequest(ArrivingRequest arrival, RequestClass requestClass, GroupState group, long now) {
+    private TrackedRequest newRequest(IncomingRequest arrival, RequestClass requestClass, GroupState group, long now) {
         long latest = arrival.expiresAt() - ANSWER_MARGIN_MICROS;
         long usefulUntil =
                 requestClass.lateWeight() > 0 ? latest : Math.min(latest, now + requestClass.latencyObjective());
@@ -84,7 +84,7 @@
     }
 
     private FailoverAdmission buffer(TrackedRequest request) {
-        ArrivingRequest arrival = request.arrival();
+        IncomingRequest arrival = request.arrival();
         RequestBuffer.BufferedRequest entry = new RequestBuffer.BufferedRequest(
                 arrival.requestId(),
                 arrival.team(),
@@ -157,7 +157,7 @@
     }
 
     /** A request has its final answer, or its caller has left. */
-    void onAnswered(long requestId) {
+    void onRequestCompleted(long requestId) {
         TrackedRequest request = tracked.get(requestId);
         if (request != null) {
             boolean wasBuffered = request.isBuffered();
--- a/src/main/java/crankwick/failover/TrackedRequest.java
+++ b/src/main/java/crankwick/failover/TrackedRequest.java
@@ -18,7 +18,7 @@
 
     private static final long NO_TERM = -1;
 
-    private final ArrivingRequest arrival;
+    private final IncomingRequest arrival;
     private final RequestClass requestClass;
     private final GroupState group;
     private final long keyHash;
@@ -36,7 +36,7 @@
      * @param usefulUntil the last moment at which releasing it can still earn its answer
      */
     TrackedRequest(
-            ArrivingRequest arrival, RequestClass requestClass, GroupState group, long keyHash, long usefulUntil) {
+            IncomingRequest arrival, RequestClass requestClass, GroupState group, long keyHash, long usefulUntil) {
         this.arrival = arrival;
         this.requestClass = requestClass;
         this.group = group;
@@ -137,7 +137,7 @@
         return arrival.requestId();
     }
 
-    ArrivingRequest arrival() {
+    IncomingRequest arrival() {
         return arrival;
     }
 
--- a/src/main/java/crankwick/simulation/SimulationSettings.java
+++ b/src/main/java/crankwick/simulation/SimulationSettings.java
@@ -89,18 +89,18 @@
     /** The same settings without a limit on the requests that are released at once. */
     static FailoverSettings withoutPacing(FailoverSettings settings) {
         return new FailoverSettings(
-                settings.bufferedPerGroup(),
-                settings.bufferedPerTeam(),
-                settings.bytesPerGroup(),
-                settings.bytesPerTeam(),
+                settings.maxBufferedPerGroup(),
+                settings.maxBufferedPerTeam(),
+                settings.maxBytesPerGroup(),
+                settings.maxBytesPerTeam(),
                 settings.minSuccessProbability(),
                 UNLIMITED_WINDOW,
                 settings.keyMargin(),
                 settings.maxKeys(),
                 settings.keyRetention(),
-                settings.unplannedMin(),
-                settings.unplannedMax(),
-                settings.plannedMin(),
-                settings.plannedMax());
+                settings.minUnplannedDuration(),
+                settings.maxUnplannedDuration(),
+                settings.minPlannedDuration(),
+                settings.maxPlannedDuration());
     }
 }
--- a/src/test/java/crankwick/failover/KeyWindowsTest.java
+++ b/src/test/java/crankwick/failover/KeyWindowsTest.java
@@ -27,7 +27,7 @@
     }
 
     private TrackedRequest request(long requestId) {
-        ArrivingRequest arrival = new ArrivingRequest(requestId, 1, "team", 0, "key", 0, START + 3_000_000);
+        IncomingRequest arrival = new IncomingRequest(requestId, 1, "team", 0, "key", 0, START + 3_000_000);
         GroupState group = new GroupState(1, FailoverSettings.DEFAULT, new HashMap<>());
         return new TrackedRequest(arrival, KEYED_WRITE, group, keys.hash(1, "key"), START + 3_000_000);
     }
--- a/src/test/java/crankwick/failover/LeadershipTest.java
+++ b/src/test/java/crankwick/failover/LeadershipTest.java
@@ -113,7 +113,7 @@
         Leadership leadership = ledByA();
         leadership.observe(new LeadershipEvidence.Delisted("a"), START + MICROS_PER_MILLI);
         assertEquals(leadership.phase(), Phase.LEADERLESS);
-        assertTrue(leadership.planned());
+        assertTrue(leadership.isFailoverPlanned());
         assertFalse(
                 leadership.observe(claim("a", START + 50 * MICROS_PER_MILLI), START + 50 * MICROS_PER_MILLI),
                 "it only finishes its open work");
--- a/src/test/java/crankwick/failover/RequestBufferTest.java
+++ b/src/test/java/crankwick/failover/RequestBufferTest.java
@@ -13,22 +13,22 @@
 public class RequestBufferTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private static FailoverSettings withLimits(int perGroup, int perTeam, long bytesPerGroup, long bytesPerTeam) {
+    private static FailoverSettings withLimits(int perGroup, int perTeam, long maxBytesPerGroup, long maxBytesPerTeam) {
         FailoverSettings defaults = FailoverSettings.DEFAULT;
         return new FailoverSettings(
                 perGroup,
                 perTeam,
-                bytesPerGroup,
-                bytesPerTeam,
+                maxBytesPerGroup,
+                maxBytesPerTeam,
                 defaults.minSuccessProbability(),
                 defaults.initialWindow(),
                 defaults.keyMargin(),
                 defaults.maxKeys(),
                 defaults.keyRetention(),
-                defaults.unplannedMin(),
-                defaults.unplannedMax(),
-                defaults.plannedMin(),
-                defaults.plannedMax());
+                defaults.minUnplannedDuration(),
+                defaults.maxUnplannedDuration(),
+                defaults.minPlannedDuration(),
+                defaults.maxPlannedDuration());
     }
 
     @Test
