--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -150,7 +150,10 @@
     void beginClose() {
         long shutdownDeadline = clock.now() + shutdownTimeoutMicros();
         loop.execute(() -> LOG.info(
-                "{} shutting down, {} requests open: {}", protocol.name(), broker.unansweredRequests(), allCounters()));
+                "{} shutting down, {} requests open: {}",
+                protocol.name(),
+                broker.outstandingRequests(),
+                allCounters()));
         loop.after(Math.min(ACCEPT_AFTER_SIGTERM_MICROS, shutdownTimeoutMicros() / 2), () -> {
             listener.close(shutdownDeadline - LAST_REPLIES_BEFORE_END_MICROS);
             awaitDrained(shutdownDeadline);
@@ -165,8 +168,11 @@
             Thread.currentThread().interrupt();
         }
         LOG.info("{} counters: {}", protocol.name(), allCounters());
-        if (broker.failover() != null) {
-            LOG.info("{} handover: {}", protocol.name(), broker.failover().counters());
+        if (broker.failoverCoordinator() != null) {
+            LOG.info(
+                    "{} handover: {}",
+                    protocol.name(),
+                    broker.failoverCoordinator().counters());
         }
     }
 
@@ -184,9 +190,9 @@
     }
 
     private void awaitDrained(long shutdownDeadline) {
-        if (listener.isEmpty() && broker.unansweredRequests() == 0 || clock.now() > shutdownDeadline) {
-            if (broker.unansweredRequests() > 0 || !listener.isEmpty()) {
-                LOG.warn("{} shut down with {} requests unanswered", protocol.name(), broker.unansweredRequests());
+        if (listener.isEmpty() && broker.outstandingRequests() == 0 || clock.now() > shutdownDeadline) {
+            if (broker.outstandingRequests() > 0 || !listener.isEmpty()) {
+                LOG.warn("{} shut down with {} requests unanswered", protocol.name(), broker.outstandingRequests());
             }
             if (discovery != null) {
                 discovery.close();
--- a/src/main/java/crankwick/broker/ActiveRequest.java
+++ b/src/main/java/crankwick/broker/ActiveRequest.java
@@ -147,11 +147,11 @@
 
     /** True if an attempt may be sent now, by its state and its times. */
     boolean mayBeginAttempt(long now) {
-        return !isAttemptInFlight() && !isCompleted() && now < startBefore();
+        return !isAttemptInFlight() && !isCompleted() && now < startDeadline();
     }
 
     /** From when on no attempt may begin: its deadline, or the end of its key's window if it may have executed. */
-    long startBefore() {
+    long startDeadline() {
         boolean retry = requestClass.idempotency() == Idempotency.WITH_KEY && mayHaveExecutedSince != AbsentValue.NONE;
         return retry ? Math.min(expiresAt, mayHaveExecutedSince + requestClass.keyTtl()) : expiresAt;
     }
--- a/src/main/java/crankwick/broker/ActiveRequests.java
+++ b/src/main/java/crankwick/broker/ActiveRequests.java
@@ -39,7 +39,7 @@
     }
 
     /** How many requests are still owed an answer. */
-    long unanswered() {
+    long countOutstanding() {
         return byId.values().stream().filter(request -> !request.isCompleted()).count();
     }
 }
--- a/src/main/java/crankwick/broker/AttemptController.java
+++ b/src/main/java/crankwick/broker/AttemptController.java
@@ -55,8 +55,8 @@
         }
         request.beginAttempt(endpointId, now);
         counters.countSent();
-        reduction.emit(
-                new Effect.SendAttempt(request.id(), attempt, endpointId, request.expiresAt(), request.startBefore()));
+        reduction.emit(new Effect.SendAttempt(
+                request.id(), attempt, endpointId, request.expiresAt(), request.startDeadline()));
     }
 
     private static Reply answerTo(ActiveRequest request, AttemptPermit denial) {
@@ -148,7 +148,7 @@
         for (ActiveRequest request : requests.all()) {
             EndpointStatus status = listed.getOrDefault(request.endpointId(), unlisted);
             if (request.isAttemptQueued() && isLeaving(status)) {
-                reduction.emit(new Effect.CancelQueued(request.id()));
+                reduction.emit(new Effect.CancelQueuedAttempt(request.id()));
             }
         }
     }
--- a/src/main/java/crankwick/broker/Broker.java
+++ b/src/main/java/crankwick/broker/Broker.java
@@ -105,13 +105,13 @@
     }
 
     /** What is known of failovers; null where they are left to the router alone. */
-    public FailoverCoordinator failover() {
+    public FailoverCoordinator failoverCoordinator() {
         return failover.coordinator();
     }
 
     /** Requests that are still owed an answer. */
-    public long unansweredRequests() {
-        return requests.unanswered();
+    public long outstandingRequests() {
+        return requests.countOutstanding();
     }
 
     /** What has been counted so far. */
--- a/src/main/java/crankwick/broker/DeadlineHandler.java
+++ b/src/main/java/crankwick/broker/DeadlineHandler.java
@@ -61,7 +61,7 @@
      */
     private void cancelQueued(ActiveRequest request) {
         request.markCancelledAtDeadline();
-        reduction.emit(new Effect.CancelQueued(request.id()));
+        reduction.emit(new Effect.CancelQueuedAttempt(request.id()));
         scheduleAgain(request, 0);
     }
 
--- a/src/main/java/crankwick/broker/Effect.java
+++ b/src/main/java/crankwick/broker/Effect.java
@@ -4,17 +4,17 @@
 public sealed interface Effect {
     /**
      * Send a request to a database, which has until {@code expiresAt}. Not a byte may be written from
-     * {@code startBefore} on: the client has given up by then, or the window in which databases discard repeats of
+     * {@code startDeadline} on: the client has given up by then, or the window in which databases discard repeats of
      * an attempt that may have executed is over.
      */
-    record SendAttempt(long requestId, int attempt, String endpointId, long expiresAt, long startBefore)
+    record SendAttempt(long requestId, int attempt, String endpointId, long expiresAt, long startDeadline)
             implements Effect {}
 
     /** Stop waiting for an attempt, so that it can no longer be answered. */
     record CancelAttempt(long requestId, int attempt) implements Effect {}
 
     /** End an attempt of which nothing has been written yet; one that has begun goes on. */
-    record CancelQueued(long requestId) implements Effect {}
+    record CancelQueuedAttempt(long requestId) implements Effect {}
 
     /** Give the client its final answer. */
     record SendReply(long requestId, Reply reply) implements Effect {}
--- a/src/main/java/crankwick/broker/RequestLifecycle.java
+++ b/src/main/java/crankwick/broker/RequestLifecycle.java
@@ -114,7 +114,7 @@
         active.history().abandoned(event.reason(), reduction.now());
         complete(active);
         if (active.isAttemptQueued()) {
-            reduction.emit(new Effect.CancelQueued(active.id()));
+            reduction.emit(new Effect.CancelQueuedAttempt(active.id()));
         }
         reduction.addRoutingEvent(new RequestAbandoned(active.id()));
         removeIfFinished(active);
--- a/src/main/java/crankwick/database/AttemptExchange.java
+++ b/src/main/java/crankwick/database/AttemptExchange.java
@@ -45,7 +45,7 @@
 
     @Override
     BeginDecision mayBegin() {
-        if (context.clock().now() >= attempt.startBefore()) {
+        if (context.clock().now() >= attempt.startDeadline()) {
             return BeginDecision.EXPIRED;
         }
         return source.isAbandoned() ? BeginDecision.ABANDONED : BeginDecision.BEGIN;
--- a/src/main/java/crankwick/runtime/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -67,7 +67,7 @@
             clients.reply(e.requestId(), e.reply());
         } else if (effect instanceof Effect.CancelAttempt e) {
             databases.cancelAttempt(e.requestId());
-        } else if (effect instanceof Effect.CancelQueued e) {
+        } else if (effect instanceof Effect.CancelQueuedAttempt e) {
             databases.cancelQueued(e.requestId());
         } else if (effect instanceof Effect.ScheduleTimer e) {
             loop.after(e.delay(), () -> publish(e.event()));
--- a/src/main/java/crankwick/simulation/SimulatedProxy.java
+++ b/src/main/java/crankwick/simulation/SimulatedProxy.java
@@ -47,17 +47,17 @@
 
     /** Requests that are buffered now. */
     long buffered() {
-        FailoverCoordinator coordinator = broker.failover();
+        FailoverCoordinator coordinator = broker.failoverCoordinator();
         return coordinator == null ? 0 : coordinator.bufferedRequests();
     }
 
     private long failoversSeen() {
-        FailoverCoordinator coordinator = broker.failover();
+        FailoverCoordinator coordinator = broker.failoverCoordinator();
         return coordinator == null ? 0 : coordinator.counters().failovers();
     }
 
     private long released() {
-        FailoverCoordinator coordinator = broker.failover();
+        FailoverCoordinator coordinator = broker.failoverCoordinator();
         return coordinator == null ? 0 : coordinator.counters().released();
     }
 
@@ -78,7 +78,7 @@
             clients.onReply(e.requestId(), e.reply());
         } else if (effect instanceof Effect.CancelAttempt e) {
             network.cancelAttempt(e.requestId());
-        } else if (effect instanceof Effect.CancelQueued e) {
+        } else if (effect instanceof Effect.CancelQueuedAttempt e) {
             network.cancelQueued(e.requestId());
         } else if (effect instanceof Effect.CheckHealth e) {
             network.checkHealth(e.endpointId());
@@ -92,7 +92,7 @@
     private void send(Effect.SendAttempt attempt) {
         long requestId = attempt.requestId();
         network.send(attempt, clients.idempotencyKeyOf(requestId), clients.requiredPositionOf(requestId));
-        if (sendsBufferedTwice && broker.failover().counters().released() > 0) {
+        if (sendsBufferedTwice && broker.failoverCoordinator().counters().released() > 0) {
             audit.onAttemptSent(clock.now(), requestId, attempt.endpointId());
         }
     }
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -132,7 +132,7 @@
     /** Requests that are still owed an answer. */
     long owed() throws InterruptedException {
         AtomicLong owed = new AtomicLong();
-        onLoop(() -> owed.set(broker.unansweredRequests()));
+        onLoop(() -> owed.set(broker.outstandingRequests()));
         return owed.get();
     }
 
--- a/src/test/java/crankwick/broker/ActiveRequestTest.java
+++ b/src/test/java/crankwick/broker/ActiveRequestTest.java
@@ -81,12 +81,12 @@
     public void keyWindowBeginsWithTheFirstAttemptThatMayHaveExecuted() {
         beginAttempt(START);
         request.endAttempt(AttemptResult.UNREACHABLE, START);
-        assertEquals(request.startBefore(), EXPIRES_AT);
+        assertEquals(request.startDeadline(), EXPIRES_AT);
         beginAttempt(START + 1_000);
         request.endAttempt(AttemptResult.RESET, START + 2_000);
         beginAttempt(START + 3_000);
         request.endAttempt(AttemptResult.RESET, START + 4_000);
-        assertEquals(request.startBefore(), START + 1_000 + KEY_TTL);
+        assertEquals(request.startDeadline(), START + 1_000 + KEY_TTL);
     }
 
     @Test
--- a/src/test/java/crankwick/broker/BrokerDeadlineTest.java
+++ b/src/test/java/crankwick/broker/BrokerDeadlineTest.java
@@ -82,7 +82,7 @@
     @Test
     public void writeThatMayHaveBegunIsNotRejectedAtItsDeadline() {
         reduce(START + TIMEOUT, new BrokerEvent.DeadlineReached(REQUEST_ID));
-        assertEquals(effectsOf(Effect.CancelQueued.class).size(), 1);
+        assertEquals(effectsOf(Effect.CancelQueuedAttempt.class).size(), 1);
         assertEquals(replies(), List.of());
         reduce(START + TIMEOUT, new BrokerEvent.DeadlineReached(REQUEST_ID));
         assertEquals(effectsOf(Effect.CancelAttempt.class).size(), 1);
@@ -101,20 +101,20 @@
 
     @Test
     public void firstAttemptMayBeginUntilItsDeadline() {
-        assertEquals(sentAttempts().get(0).startBefore(), START + TIMEOUT);
+        assertEquals(sentAttempts().get(0).startDeadline(), START + TIMEOUT);
     }
 
     @Test
     public void retryMayBeginOnlyWithinItsKeysWindow() {
         endAttempt(START + 100 * MICROS_PER_MILLI, AttemptResult.RESET);
         assertEquals(sentAttempts().size(), 2);
-        assertEquals(sentAttempts().get(1).startBefore(), START + KEY_TTL);
+        assertEquals(sentAttempts().get(1).startDeadline(), START + KEY_TTL);
     }
 
     @Test
     public void retryOfWhatNeverExecutedMayBeginUntilItsDeadline() {
         endAttempt(START + 100 * MICROS_PER_MILLI, AttemptResult.REJECTED_OVERLOADED);
         assertEquals(sentAttempts().size(), 2);
-        assertEquals(sentAttempts().get(1).startBefore(), START + TIMEOUT);
+        assertEquals(sentAttempts().get(1).startDeadline(), START + TIMEOUT);
     }
 }
--- a/src/test/java/crankwick/broker/BrokerFailoverTest.java
+++ b/src/test/java/crankwick/broker/BrokerFailoverTest.java
@@ -150,7 +150,7 @@
         assertEquals(reasonOf(rejected), Reply.Reason.NO_PRIMARY);
         assertTrue(((Reply.Rejected) replies.get(rejected)).retryAfter() > 0);
         assertEquals(attemptsOf(rejected), 0);
-        assertEquals(broker.failover().bufferedRequests(), 0);
+        assertEquals(broker.failoverCoordinator().bufferedRequests(), 0);
     }
 
     @Test
@@ -162,12 +162,12 @@
             buffered.add(write("k" + i, 3_000 * MICROS_PER_MILLI));
         }
         assertTrue(
-                broker.failover().bufferedRequests() >= 18,
-                "" + broker.failover().bufferedRequests());
+                broker.failoverCoordinator().bufferedRequests() >= 18,
+                "" + broker.failoverCoordinator().bufferedRequests());
         assertTrue(buffered.stream().allMatch(requestId -> attemptsOf(requestId) == 0));
         advance(1_500 * MICROS_PER_MILLI);
         report("b", Role.PRIMARY);
-        assertEquals(broker.failover().leadership(1).leader(), "b");
+        assertEquals(broker.failoverCoordinator().leadership(1).leader(), "b");
         int most = 0;
         for (int i = 0; i < 200 && replies.size() < 21; i++) {
             List<Effect.SendAttempt> out = sentAttempts.stream()
@@ -295,11 +295,11 @@
         failA();
         advance(2_500 * MICROS_PER_MILLI);
         write("scout", 3_000 * MICROS_PER_MILLI);
-        int before = broker.failover().bufferedRequests();
+        int before = broker.failoverCoordinator().bufferedRequests();
         long buffered = write("k", 3_000 * MICROS_PER_MILLI);
-        assertEquals(broker.failover().bufferedRequests(), before + 1);
+        assertEquals(broker.failoverCoordinator().bufferedRequests(), before + 1);
         reduce(new BrokerEvent.RequestAbandoned(buffered, AbandonReason.CLOSED));
-        assertEquals(broker.failover().bufferedRequests(), before);
+        assertEquals(broker.failoverCoordinator().bufferedRequests(), before);
         assertNull(replies.get(buffered));
     }
 }
