--- a/src/main/java/crankwick/app/OperatorConfig.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -84,7 +84,7 @@
         Map<String, Contract> contracts = new HashMap<>();
         ConfigTable teams = root.table("teams");
         for (String team : teams.keys()) {
-            contracts.put(team, contract(teams.table(team), settings.classNames()));
+            contracts.put(team, contract(teams.table(team), settings.requestClassNames()));
         }
         return new OperatorConfig(
                 listen,
--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -87,8 +87,9 @@
                 loop,
                 clock,
                 protocol.clientCodec(),
-                new ClientSettings(settings.routingSettings(), settings.classNames(), contracts::containsKey, (int)
-                        (sockets * CLIENT_SOCKET_FRACTION)));
+                new ClientSettings(
+                        settings.routingSettings(), settings.requestClassNames(), contracts::containsKey, (int)
+                                (sockets * CLIENT_SOCKET_FRACTION)));
     }
 
     /** Listens, and is ready once a list that names a database is known. */
@@ -104,8 +105,9 @@
                 clock,
                 transport,
                 protocol.databaseCodec(),
-                new PoolSettings(settings.routingSettings().limits().connectTimeout(), settings.connIdle(), (int)
-                        (sockets * DATABASE_SOCKET_FRACTION)));
+                new PoolSettings(
+                        settings.routingSettings().limits().connectTimeout(), settings.connectionIdleTimeout(), (int)
+                                (sockets * DATABASE_SOCKET_FRACTION)));
         loop.execute(() -> {
             new StartupWarmup(settings, protocol.clientCodec(), protocol.databaseCodec()).run();
             discovery = discoveryFactory.apply(loop, clock);
--- a/src/main/java/crankwick/app/StartupWarmup.java
+++ b/src/main/java/crankwick/app/StartupWarmup.java
@@ -47,7 +47,7 @@
     private long now = START_MICROS;
 
     StartupWarmup(SettingsCodec settings, CodecFilter clientCodec, CodecFilter databaseCodec) {
-        classNames = settings.classNames();
+        classNames = settings.requestClassNames();
         this.clientCodec = clientCodec;
         this.databaseCodec = databaseCodec;
         broker = new Broker(settings.routingSettings(), 1, Map.of("", Contract.UNLIMITED), null);
@@ -73,8 +73,8 @@
                     "",
                     classIndex,
                     statement.groupId(),
-                    statement.sessionNumber(),
-                    statement.requiredPosition() * MICROS_PER_MILLI,
+                    statement.sessionHash(),
+                    statement.requiredPositionMillis() * MICROS_PER_MILLI,
                     statement.timeoutMillis() * MICROS_PER_MILLI,
                     statement.idempotencyKey(),
                     0)));
--- a/src/main/java/crankwick/client/RequestDecoder.java
+++ b/src/main/java/crankwick/client/RequestDecoder.java
@@ -26,7 +26,7 @@
     /** Reads a statement; throws IllegalArgumentException that says what is wrong with it. */
     Statement decode(String text) {
         Statement statement = Statement.parse(text);
-        Integer classIndex = classIndexes.get(statement.className());
+        Integer classIndex = classIndexes.get(statement.requestClassName());
         if (classIndex == null) {
             throw new IllegalArgumentException("c names no class");
         }
@@ -39,14 +39,15 @@
     /** The request of a command whose statement {@link #decode} has read. */
     ClientRequest request(ClientCommand command, long timeoutMicros) {
         Statement statement = command.statement();
-        long requiredPosition = statement.requiredPosition() > 0 ? statement.requiredPosition() * MICROS_PER_MILLI : -1;
+        long requiredPosition =
+                statement.requiredPositionMillis() > 0 ? statement.requiredPositionMillis() * MICROS_PER_MILLI : -1;
         return new ClientRequest(
                 command.requestId,
-                statement.id(),
+                statement.requestId(),
                 command.session.team,
-                classIndexes.get(statement.className()),
+                classIndexes.get(statement.requestClassName()),
                 statement.groupId(),
-                statement.sessionNumber(),
+                statement.sessionHash(),
                 requiredPosition,
                 timeoutMicros,
                 statement.idempotencyKey(),
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -60,9 +60,9 @@
         random = new SplittableRandom(seed);
         for (int i = 0; i < groups; i++) {
             GroupModel model = new GroupModel(settings, random.nextLong(), clock.now());
-            EmulatedGroup group = new EmulatedGroup(i, model, settings.members());
+            EmulatedGroup group = new EmulatedGroup(i, model, settings.memberCount());
             this.groups.add(group);
-            for (int member = 0; member < settings.members(); member++) {
+            for (int member = 0; member < settings.memberCount(); member++) {
                 listen(group, member);
             }
             list.set(group.endpoints());
@@ -172,11 +172,11 @@
     }
 
     private void carryOut(EmulatedGroup group, ModelEffect effect) {
-        if (effect instanceof ModelEffect.Answered e) {
+        if (effect instanceof ModelEffect.ResponseSent e) {
             connections.answer(e);
-        } else if (effect instanceof ModelEffect.ConnectionBroken e) {
+        } else if (effect instanceof ModelEffect.ConnectionFailed e) {
             connections.breakConnection(e.exchangeId());
-        } else if (effect instanceof ModelEffect.WriteApplied e) {
+        } else if (effect instanceof ModelEffect.WriteAppended e) {
             executionLog.recordApplied(e.idempotencyKey());
         } else if (effect instanceof ModelEffect.WriteRolledBack e) {
             executionLog.recordRolledBack(e.idempotencyKey());
--- a/src/main/java/crankwick/emulator/MemberConnections.java
+++ b/src/main/java/crankwick/emulator/MemberConnections.java
@@ -96,18 +96,18 @@
     }
 
     private void onStatement(EmulatedConnection connection, Statement statement) {
-        connection.setStatement(statement.id(), statement.idempotencyKey() != null);
-        EmulatedConnection earlier = byRequest.put(statement.id(), connection);
+        connection.setStatement(statement.requestId(), statement.idempotencyKey() != null);
+        EmulatedConnection earlier = byRequest.put(statement.requestId(), connection);
         if (earlier != null) {
             checkConcurrentAttempt(earlier);
         }
         model.accept(
                 connection.group(),
-                new ModelEvent.QueryReceived(
+                new ModelEvent.StatementReceived(
                         connection.exchangeId(),
                         connection.member(),
                         statement.idempotencyKey(),
-                        Math.max(0, statement.requiredPosition() * MICROS_PER_MILLI)));
+                        Math.max(0, statement.requiredPositionMillis() * MICROS_PER_MILLI)));
     }
 
     /** A request's earlier attempt that does not end soon was in flight beside the next one. */
@@ -130,7 +130,7 @@
     }
 
     /** Answers what came on a connection, if that is still open. */
-    void answer(ModelEffect.Answered answer) {
+    void answer(ModelEffect.ResponseSent answer) {
         EmulatedConnection connection = byExchange.remove(answer.exchangeId());
         if (connection == null) {
             return;
--- a/src/main/java/crankwick/model/Failover.java
+++ b/src/main/java/crankwick/model/Failover.java
@@ -51,7 +51,7 @@
     private void declareFailed(Member member) {
         leadership.declareFailed();
         replication.rollBackUnreceived(member);
-        context.scheduleAfter(context.draw(settings.takeoverDelay()), leadership.inThisEpoch(this::electLeader));
+        context.scheduleAfter(context.draw(settings.electionDelay()), leadership.inThisEpoch(this::electLeader));
     }
 
     private void electLeader() {
@@ -69,7 +69,7 @@
     }
 
     private boolean isEligible(Member member) {
-        return member.isUp() && !member.isDraining() && !leadership.isLastLeader(member);
+        return member.isUp() && !member.isDraining() && !leadership.isMostRecentLeader(member);
     }
 
     private static boolean isPreferred(Member member, Member other) {
@@ -79,7 +79,7 @@
     }
 
     private void promote(Member member) {
-        Member previous = members.get(leadership.lastLeader());
+        Member previous = members.get(leadership.mostRecentLeader());
         member.progress().catchUpTo(log.end());
         member.setClaimsPrimary(true);
         leadership.elect(member);
@@ -109,7 +109,7 @@
             return;
         }
         context.emit(new ModelEffect.LeaderLost(member.index(), true));
-        context.scheduleAfter(context.draw(settings.drainDelay()), leadership.inThisEpoch(() -> handOver(member)));
+        context.scheduleAfter(context.draw(settings.handoverDelay()), leadership.inThisEpoch(() -> handOver(member)));
     }
 
     private void handOver(Member leader) {
@@ -121,8 +121,8 @@
 
     /** A member's process is back, or goes on: it resumes as the leader, learns of another, or catches up. */
     void onResponsive(Member member) {
-        if (leadership.isLastLeader(member) && !leadership.hasLeader() && !member.isDraining()) {
-            if (leadership.awaitsLastLeader()) {
+        if (leadership.isMostRecentLeader(member) && !leadership.hasLeader() && !member.isDraining()) {
+            if (leadership.isDetectingFailure()) {
                 resume(member);
             } else {
                 demoteLater(member, () -> true);
@@ -143,7 +143,7 @@
 
     private void demoteLater(Member member, BooleanSupplier condition) {
         long incarnation = member.startedAt();
-        context.scheduleAfter(context.draw(settings.staleClaimDelay()), () -> {
+        context.scheduleAfter(context.draw(settings.demotionDelay()), () -> {
             boolean sameProcess = member.startedAt() == incarnation && member.isUp();
             if (condition.getAsBoolean() && !leadership.isLeader(member) && sameProcess) {
                 demote(member);
--- a/src/main/java/crankwick/model/GroupModel.java
+++ b/src/main/java/crankwick/model/GroupModel.java
@@ -22,7 +22,7 @@
 
     /** A group whose member 0 leads. */
     public GroupModel(ModelSettings settings, long seed, long now) {
-        for (int i = 0; i < settings.members(); i++) {
+        for (int i = 0; i < settings.memberCount(); i++) {
             members.add(new Member(i, settings, now));
         }
         members.get(0).setClaimsPrimary(true);
@@ -39,7 +39,7 @@
     /** Takes one event at a time in microseconds, which never goes back. */
     public void handle(ModelEvent event, long time, Consumer<ModelEffect> effects) {
         context.beginEvent(time, effects);
-        if (event instanceof ModelEvent.QueryReceived e) {
+        if (event instanceof ModelEvent.StatementReceived e) {
             onQuery(members.get(e.member()), e);
         } else if (event instanceof ModelEvent.HealthCheckReceived e) {
             onHealthCheck(members.get(e.member()), e.exchangeId());
@@ -52,9 +52,9 @@
         }
     }
 
-    private void onQuery(Member member, ModelEvent.QueryReceived query) {
+    private void onQuery(Member member, ModelEvent.StatementReceived query) {
         if (member.refusesConnections()) {
-            context.emit(new ModelEffect.ConnectionBroken(query.exchangeId(), member.index(), true));
+            context.emit(new ModelEffect.ConnectionFailed(query.exchangeId(), member.index(), true));
             return;
         }
         StatementExecution statement = member.workload().register(query);
@@ -69,7 +69,7 @@
 
     private void onHealthCheck(Member member, long exchangeId) {
         if (member.refusesConnections()) {
-            context.emit(new ModelEffect.ConnectionBroken(exchangeId, member.index(), true));
+            context.emit(new ModelEffect.ConnectionFailed(exchangeId, member.index(), true));
         } else if (member.isHung()) {
             member.workload().holdHealthCheck(exchangeId);
         } else {
@@ -88,8 +88,8 @@
     }
 
     /** The index of the member that took writes last, or does now. */
-    public int lastLeader() {
-        return leadership.lastLeader();
+    public int mostRecentLeader() {
+        return leadership.mostRecentLeader();
     }
 
     /** Whether a write would be answered now: there is a leader, and another member can receive its entry. */
--- a/src/main/java/crankwick/model/Leadership.java
+++ b/src/main/java/crankwick/model/Leadership.java
@@ -13,7 +13,7 @@
     }
 
     private State state = State.LED;
-    private int lastLeader;
+    private int mostRecentLeader;
     private long epoch;
     private long lastHeartbeatAt;
 
@@ -23,11 +23,11 @@
 
     /** The index of the leader, or {@link #NO_LEADER}. */
     int leader() {
-        return state == State.LED ? lastLeader : NO_LEADER;
+        return state == State.LED ? mostRecentLeader : NO_LEADER;
     }
 
-    int lastLeader() {
-        return lastLeader;
+    int mostRecentLeader() {
+        return mostRecentLeader;
     }
 
     boolean hasLeader() {
@@ -35,16 +35,16 @@
     }
 
     boolean isLeader(Member member) {
-        return state == State.LED && member.index() == lastLeader;
+        return state == State.LED && member.index() == mostRecentLeader;
     }
 
     /** Whether a member led last, or does now. */
-    boolean isLastLeader(Member member) {
-        return member.index() == lastLeader;
+    boolean isMostRecentLeader(Member member) {
+        return member.index() == mostRecentLeader;
     }
 
     /** Whether a leader that is back may simply resume. */
-    boolean awaitsLastLeader() {
+    boolean isDetectingFailure() {
         return state == State.DETECTING_FAILURE;
     }
 
@@ -73,7 +73,7 @@
 
     void elect(Member member) {
         state = State.LED;
-        lastLeader = member.index();
+        mostRecentLeader = member.index();
         epoch++;
     }
 
--- a/src/main/java/crankwick/model/Member.java
+++ b/src/main/java/crankwick/model/Member.java
@@ -21,7 +21,7 @@
 
     Member(int index, ModelSettings settings, long now) {
         this.index = index;
-        workload = new MemberWorkload(settings.cores());
+        workload = new MemberWorkload(settings.coresPerMember());
         progress = new ReplicaProgress(now);
         warmUp = new WarmUp(settings);
     }
--- a/src/main/java/crankwick/model/MemberResponder.java
+++ b/src/main/java/crankwick/model/MemberResponder.java
@@ -33,7 +33,7 @@
     }
 
     private void emitAnswer(long exchangeId, Member member, AttemptResult result, long position) {
-        context.emit(new ModelEffect.Answered(
+        context.emit(new ModelEffect.ResponseSent(
                 exchangeId, member.index(), result, role(member), position, loadReport(member)));
     }
 
--- a/src/main/java/crankwick/model/MemberWorkload.java
+++ b/src/main/java/crankwick/model/MemberWorkload.java
@@ -19,7 +19,7 @@
     }
 
     /** Registers a statement, which is still to be queued or answered. */
-    StatementExecution register(ModelEvent.QueryReceived query) {
+    StatementExecution register(ModelEvent.StatementReceived query) {
         StatementExecution statement = new StatementExecution(query);
         unanswered.put(query.exchangeId(), statement);
         return statement;
--- a/src/main/java/crankwick/model/ModelEffect.java
+++ b/src/main/java/crankwick/model/ModelEffect.java
@@ -13,14 +13,14 @@
      * @param role the role that the member claims
      * @param position up to when the member has seen all writes, in microseconds
      */
-    record Answered(long exchangeId, int member, AttemptResult result, Role role, long position, LoadReport report)
+    record ResponseSent(long exchangeId, int member, AttemptResult result, Role role, long position, LoadReport report)
             implements ModelEffect {}
 
     /** The connection of an exchange breaks; {@code refused} if it had never come up. */
-    record ConnectionBroken(long exchangeId, int member, boolean refused) implements ModelEffect {}
+    record ConnectionFailed(long exchangeId, int member, boolean refused) implements ModelEffect {}
 
     /** A key's write is now in the group's log. */
-    record WriteApplied(String idempotencyKey) implements ModelEffect {}
+    record WriteAppended(String idempotencyKey) implements ModelEffect {}
 
     /** A key's write left the log with a leader that had not replicated it. */
     record WriteRolledBack(String idempotencyKey) implements ModelEffect {}
--- a/src/main/java/crankwick/model/ModelEvent.java
+++ b/src/main/java/crankwick/model/ModelEvent.java
@@ -11,7 +11,7 @@
      * @param idempotencyKey of a write; null for a read
      * @param requiredPosition the position that a read must see, in microseconds; 0 for none
      */
-    record QueryReceived(long exchangeId, int member, String idempotencyKey, long requiredPosition)
+    record StatementReceived(long exchangeId, int member, String idempotencyKey, long requiredPosition)
             implements ModelEvent {
         boolean isWrite() {
             return idempotencyKey != null;
--- a/src/main/java/crankwick/model/ModelSettings.java
+++ b/src/main/java/crankwick/model/ModelSettings.java
@@ -3,38 +3,38 @@
 /**
  * Settings of one modelled group; times in microseconds.
  *
- * @param members databases in the group, 2 to 64
- * @param cores statements that one member executes at once
+ * @param memberCount databases in the group, 2 to 64
+ * @param coresPerMember statements that one member executes at once
  * @param maxQueuedStatements statements that wait at one member before further ones are rejected
  * @param meanReadWorkMicros mean work of a read on a warm core, exponentially distributed
  * @param meanWriteWorkMicros mean work of a write on a warm core, exponentially distributed
  * @param replicationDelay time until a replica has received an entry of the log; entries stay in order
  * @param applyWorkMicros what a replica's one apply thread takes for each entry
- * @param readWaitMicros how long a member lets a read wait for a position that it has not reached
+ * @param maxReadWaitMicros how long a member lets a read wait for a position that it has not reached
  * @param keyTtlMicros how long an idempotency key is remembered from its commit on
  * @param failureDetectionDelay time from a primary's crash or hang until it is declared failed
- * @param takeoverDelay time from that declaration until a replica takes over
- * @param drainDelay time from the start of a primary's drain until its successor is elected
- * @param staleClaimDelay how long a deposed primary that is back claims its old role
+ * @param electionDelay time from that declaration until a replica takes over
+ * @param handoverDelay time from the start of a primary's drain until its successor is elected
+ * @param demotionDelay how long a deposed primary that is back claims its old role
  * @param initialCapacity share of the capacity at a start, 0 to 1, growing linearly over {@code warmUpMicros}
  * @param warmUpMicros time from a start until the full capacity is reached
  * @param overloadMultiple a cold member collapses when sent this multiple of its capacity
  * @param overloadWindowMicros the sliding window over which that work is summed up
  */
 public record ModelSettings(
-        int members,
-        int cores,
+        int memberCount,
+        int coresPerMember,
         int maxQueuedStatements,
         long meanReadWorkMicros,
         long meanWriteWorkMicros,
         DelayRange replicationDelay,
         long applyWorkMicros,
-        long readWaitMicros,
+        long maxReadWaitMicros,
         long keyTtlMicros,
         DelayRange failureDetectionDelay,
-        DelayRange takeoverDelay,
-        DelayRange drainDelay,
-        DelayRange staleClaimDelay,
+        DelayRange electionDelay,
+        DelayRange handoverDelay,
+        DelayRange demotionDelay,
         double initialCapacity,
         long warmUpMicros,
         double overloadMultiple,
--- a/src/main/java/crankwick/model/ProcessLifecycle.java
+++ b/src/main/java/crankwick/model/ProcessLifecycle.java
@@ -46,7 +46,7 @@
         }
         member.setState(state);
         List<Long> exchangeIds = member.workload().clear();
-        exchangeIds.forEach(id -> context.emit(new ModelEffect.ConnectionBroken(id, member.index(), false)));
+        exchangeIds.forEach(id -> context.emit(new ModelEffect.ConnectionFailed(id, member.index(), false)));
         failover.onUnresponsive(member);
     }
 
@@ -84,6 +84,6 @@
     }
 
     private boolean hasDrained(Member member) {
-        return member.isDraining() && !leadership.isLeader(member) && !leadership.isLastLeader(member);
+        return member.isDraining() && !leadership.isLeader(member) && !leadership.isMostRecentLeader(member);
     }
 }
--- a/src/main/java/crankwick/model/Replication.java
+++ b/src/main/java/crankwick/model/Replication.java
@@ -58,7 +58,7 @@
     private long append(Member leader, LogEntry entry) {
         long index = log.append(entry);
         keys.remember(entry, context.now());
-        context.emit(new ModelEffect.WriteApplied(entry.idempotencyKey()));
+        context.emit(new ModelEffect.WriteAppended(entry.idempotencyKey()));
         leader.progress().catchUpTo(index + 1);
         for (Member other : members) {
             if (other != leader && other.isUp()) {
--- a/src/main/java/crankwick/model/StatementExecution.java
+++ b/src/main/java/crankwick/model/StatementExecution.java
@@ -9,14 +9,14 @@
         ABANDONED
     }
 
-    private final ModelEvent.QueryReceived query;
+    private final ModelEvent.StatementReceived query;
     private State state = State.QUEUED;
 
-    StatementExecution(ModelEvent.QueryReceived query) {
+    StatementExecution(ModelEvent.StatementReceived query) {
         this.query = query;
     }
 
-    ModelEvent.QueryReceived query() {
+    ModelEvent.StatementReceived query() {
         return query;
     }
 
--- a/src/main/java/crankwick/model/StatementExecutor.java
+++ b/src/main/java/crankwick/model/StatementExecutor.java
@@ -31,7 +31,7 @@
     }
 
     /** Mean work of a statement on a warm core, in microseconds. */
-    long meanWork(ModelEvent.QueryReceived query) {
+    long meanWork(ModelEvent.StatementReceived query) {
         return query.isWrite() ? settings.meanWriteWorkMicros() : settings.meanReadWorkMicros();
     }
 
@@ -79,7 +79,7 @@
         if (statement.isWrite()) {
             completeWrite(member, statement);
         } else {
-            completeRead(member, statement, context.now() + settings.readWaitMicros());
+            completeRead(member, statement, context.now() + settings.maxReadWaitMicros());
         }
         startQueued(member);
     }
--- a/src/main/java/crankwick/model/WarmUp.java
+++ b/src/main/java/crankwick/model/WarmUp.java
@@ -42,7 +42,10 @@
         while (window.peek().at < now - settings.overloadWindowMicros()) {
             workInWindow -= window.poll().work;
         }
-        double limit = settings.overloadMultiple() * capacity(now) * settings.cores() * settings.overloadWindowMicros();
+        double limit = settings.overloadMultiple()
+                * capacity(now)
+                * settings.coresPerMember()
+                * settings.overloadWindowMicros();
         return workInWindow > limit;
     }
 }
--- a/src/main/java/crankwick/settings/SettingsCodec.java
+++ b/src/main/java/crankwick/settings/SettingsCodec.java
@@ -86,7 +86,7 @@
     }
 
     /** The request classes' names, in order; only a real proxy needs them. */
-    public List<String> classNames() {
+    public List<String> requestClassNames() {
         List<String> names = new ArrayList<>();
         for (JsonElement requestClass : root.array("classes")) {
             names.add(SettingsObject.object(requestClass, "classes[" + names.size() + "]")
@@ -101,7 +101,7 @@
     }
 
     /** How long a connection may be idle before a database ends it, in microseconds; only a real proxy needs it. */
-    public long connIdle() {
+    public long connectionIdleTimeout() {
         return root.object("bounds").micros("conn-idle-ms");
     }
 
--- a/src/main/java/crankwick/simulation/FailoverAudit.java
+++ b/src/main/java/crankwick/simulation/FailoverAudit.java
@@ -239,7 +239,7 @@
     // ---- Databases -----------------------------------------------------------------------------------
 
     void onModelEffect(long now, int group, ModelEffect effect) {
-        if (effect instanceof ModelEffect.WriteApplied e) {
+        if (effect instanceof ModelEffect.WriteAppended e) {
             onApplied(now, group, e.idempotencyKey());
         } else if (effect instanceof ModelEffect.WriteRolledBack e) {
             onRolledBack(now, group, e.idempotencyKey());
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -88,7 +88,7 @@
                 this::handle,
                 () -> ending);
         proxy = new SimulatedProxy(clock, random, audit, network, clients, options.defect() == Defect.HELD_SENT_TWICE);
-        faults = new FaultSchedule(clock, random, audit, network, modelSettings.members(), discovery, () -> ending);
+        faults = new FaultSchedule(clock, random, audit, network, modelSettings.memberCount(), discovery, () -> ending);
     }
 
     private static FailoverSettings failoverSettings(Options options) {
@@ -130,7 +130,7 @@
     private void createGroups() {
         for (int id = 0; id < options.groups(); id++) {
             GroupModel model = new GroupModel(modelSettings, random.nextSeed(), START_MICROS);
-            SimulatedGroup group = new SimulatedGroup(id, model, modelSettings.members());
+            SimulatedGroup group = new SimulatedGroup(id, model, modelSettings.memberCount());
             groups.add(group);
             clients.scheduleArrival(group);
             faults.scheduleNext(group);
@@ -161,7 +161,7 @@
 
     private void startProxy() {
         proxy.start(routingSettings, failoverSettings);
-        discovery.publishAll(groups, modelSettings.members());
+        discovery.publishAll(groups, modelSettings.memberCount());
     }
 
     private void scheduleProxyRestart() {
--- a/src/main/java/crankwick/simulation/FaultSchedule.java
+++ b/src/main/java/crankwick/simulation/FaultSchedule.java
@@ -100,9 +100,9 @@
     /** A member that may be about to take over crashes too, if another remains. */
     private void crashSuccessor(SimulatedGroup group) {
         GroupModel model = group.model();
-        int successor = (model.lastLeader() + 1) % members;
+        int successor = (model.mostRecentLeader() + 1) % members;
         int next = (successor + 1) % members;
-        int other = next == model.lastLeader() ? (successor + 2) % members : next;
+        int other = next == model.mostRecentLeader() ? (successor + 2) % members : next;
         if (model.leader() < 0 && model.isResponsive(successor) && model.isResponsive(other)) {
             inject(group, successor, Kind.CRASH);
             restartAfter(group, successor, random.between(SECONDS, 3 * SECONDS));
--- a/src/main/java/crankwick/simulation/ModelNetwork.java
+++ b/src/main/java/crankwick/simulation/ModelNetwork.java
@@ -151,7 +151,7 @@
         deliver(groupOf(exchange), new ModelEvent.ConnectionClosed(exchange.exchangeId()));
     }
 
-    private void end(NetworkExchange exchange, AttemptResult result, ModelEffect.Answered answer) {
+    private void end(NetworkExchange exchange, AttemptResult result, ModelEffect.ResponseSent answer) {
         if (exchange.isFinished()) {
             return;
         }
@@ -198,12 +198,12 @@
 
     private void carryOut(SimulatedGroup group, ModelEffect effect) {
         audit.onModelEffect(clock.now(), group.id(), effect);
-        if (effect instanceof ModelEffect.Answered e) {
+        if (effect instanceof ModelEffect.ResponseSent e) {
             NetworkExchange exchange = atModels.remove(e.exchangeId());
             if (exchange != null) {
                 returnAnswer(exchange, e);
             }
-        } else if (effect instanceof ModelEffect.ConnectionBroken e) {
+        } else if (effect instanceof ModelEffect.ConnectionFailed e) {
             NetworkExchange exchange = atModels.remove(e.exchangeId());
             if (exchange != null) {
                 AttemptResult result = e.refused() ? AttemptResult.UNREACHABLE : AttemptResult.RESET;
@@ -214,7 +214,7 @@
         }
     }
 
-    private void returnAnswer(NetworkExchange exchange, ModelEffect.Answered answer) {
+    private void returnAnswer(NetworkExchange exchange, ModelEffect.ResponseSent answer) {
         boolean lost = random.chance(BREAKS_PER_TEN_THOUSAND);
         AttemptResult result = lost ? AttemptResult.RESET : answer.result();
         clock.scheduleAfter(random.networkDelay(), () -> end(exchange, result, lost ? null : answer));
--- a/src/main/java/crankwick/simulation/NetworkExchange.java
+++ b/src/main/java/crankwick/simulation/NetworkExchange.java
@@ -90,7 +90,7 @@
     ModelEvent toModelEvent() {
         return isHealthCheck()
                 ? new ModelEvent.HealthCheckReceived(exchangeId, member())
-                : new ModelEvent.QueryReceived(exchangeId, member(), idempotencyKey, requiredPosition);
+                : new ModelEvent.StatementReceived(exchangeId, member(), idempotencyKey, requiredPosition);
     }
 
     void setWritten() {
--- a/src/main/java/crankwick/statement/Statement.java
+++ b/src/main/java/crankwick/statement/Statement.java
@@ -6,20 +6,20 @@
  * A statement with the hints of its leading comment, as every front carries them:
  * {@code /* id=..,c=..,d=..,cluster=..[,k=..][,after=..] *}{@code / SELECT ..}.
  *
- * @param className the class's name
+ * @param requestClassName the class's name
  * @param timeoutMillis how long the caller waits, in milliseconds
  * @param idempotencyKey the idempotency key, or null
- * @param requiredPosition the position to be seen, a Unix time in milliseconds, or -1
- * @param session the first quoted literal, or null
+ * @param requiredPositionMillis the position to be seen, a Unix time in milliseconds, or -1
+ * @param sessionId the first quoted literal, or null
  */
 public record Statement(
-        String id,
-        String className,
+        String requestId,
+        String requestClassName,
         long timeoutMillis,
         String idempotencyKey,
         long groupId,
-        long requiredPosition,
-        String session,
+        long requiredPositionMillis,
+        String sessionId,
         String text,
         int timeoutStart,
         int timeoutEnd) {
@@ -39,12 +39,12 @@
     }
 
     /** A hash of the session, by which the routing module identifies it; -1 for none. */
-    public long sessionNumber() {
-        if (session == null) {
+    public long sessionHash() {
+        if (sessionId == null) {
             return -1;
         }
         long hash = FNV_OFFSET_BASIS;
-        for (byte b : session.getBytes(StandardCharsets.UTF_8)) {
+        for (byte b : sessionId.getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ b) * FNV_PRIME;
         }
         return (hash ^ hash >>> SESSION_BITS) & SESSION_MASK;
--- a/src/main/java/crankwick/statement/StatementParser.java
+++ b/src/main/java/crankwick/statement/StatementParser.java
@@ -9,12 +9,12 @@
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private final String text;
-    private String id;
-    private String className;
+    private String requestId;
+    private String requestClassName;
     private String idempotencyKey;
     private long timeoutMillis = -1;
     private long groupId = -1;
-    private long requiredPosition = -1;
+    private long requiredPositionMillis = -1;
     private int timeoutStart;
     private int timeoutEnd;
 
@@ -28,17 +28,17 @@
         int close = text.indexOf(COMMENT_END, open + COMMENT_START.length());
         require(open >= 0 && text.substring(0, open).isBlank() && close > 0, "no leading comment");
         readHints(open + COMMENT_START.length(), close);
-        require(id != null, "id is missing");
-        require(className != null, "c is missing");
+        require(requestId != null, "id is missing");
+        require(requestClassName != null, "c is missing");
         require(timeoutMillis > 0, "d is missing");
         require(groupId >= 0, "cluster is missing");
         return new Statement(
-                id,
-                className,
+                requestId,
+                requestClassName,
                 timeoutMillis,
                 idempotencyKey,
                 groupId,
-                requiredPosition,
+                requiredPositionMillis,
                 firstLiteral(close),
                 text,
                 timeoutStart,
@@ -61,11 +61,11 @@
     private void readHint(String name, int valueStart, int valueEnd) {
         String value = text.substring(valueStart, valueEnd).strip();
         switch (name) {
-            case "id" -> id = hintText(value, name);
-            case "c" -> className = hintText(value, name);
+            case "id" -> requestId = hintText(value, name);
+            case "c" -> requestClassName = hintText(value, name);
             case "k" -> idempotencyKey = hintText(value, name);
             case "cluster" -> groupId = number(value, Integer.MAX_VALUE, name);
-            case "after" -> requiredPosition = number(value, Long.MAX_VALUE / MILLIS_PER_SECOND, name);
+            case "after" -> requiredPositionMillis = number(value, Long.MAX_VALUE / MILLIS_PER_SECOND, name);
             case "d" -> {
                 timeoutMillis = Math.min(MAX_TIMEOUT_MILLIS, number(value, Long.MAX_VALUE, name));
                 timeoutStart = text.indexOf(value, valueStart);
--- a/src/test/java/crankwick/model/GroupModelTest.java
+++ b/src/test/java/crankwick/model/GroupModelTest.java
@@ -41,10 +41,10 @@
         now = until;
     }
 
-    private ModelEffect.Answered answer(long exchangeId) {
+    private ModelEffect.ResponseSent answer(long exchangeId) {
         return effects.stream()
-                .filter(e -> e instanceof ModelEffect.Answered a && a.exchangeId() == exchangeId)
-                .map(e -> (ModelEffect.Answered) e)
+                .filter(e -> e instanceof ModelEffect.ResponseSent a && a.exchangeId() == exchangeId)
+                .map(e -> (ModelEffect.ResponseSent) e)
                 .findFirst()
                 .orElse(null);
     }
@@ -55,38 +55,38 @@
 
     @Test
     public void keyIsAppliedOnceWithinItsTtlAndAgainAfterIt() {
-        handle(new ModelEvent.QueryReceived(1, 0, "k", 0));
+        handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(100 * MILLIS);
-        handle(new ModelEvent.QueryReceived(2, 0, "k", 0));
+        handle(new ModelEvent.StatementReceived(2, 0, "k", 0));
         advance(100 * MILLIS);
         assertEquals(answer(1).result(), AttemptResult.OK);
         assertEquals(answer(2).result(), AttemptResult.OK);
-        assertEquals(countEffects(ModelEffect.WriteApplied.class), 1);
+        assertEquals(countEffects(ModelEffect.WriteAppended.class), 1);
         advance(2_000 * MILLIS);
-        handle(new ModelEvent.QueryReceived(3, 0, "k", 0));
+        handle(new ModelEvent.StatementReceived(3, 0, "k", 0));
         advance(100 * MILLIS);
-        assertEquals(countEffects(ModelEffect.WriteApplied.class), 2);
+        assertEquals(countEffects(ModelEffect.WriteAppended.class), 2);
     }
 
     @Test
     public void unreplicatedWriteIsNeverAcknowledged() {
         handle(new ModelEvent.FaultInjected(Kind.CRASH, 1));
         handle(new ModelEvent.FaultInjected(Kind.CRASH, 2));
-        handle(new ModelEvent.QueryReceived(1, 0, "k", 0));
+        handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(200 * MILLIS);
-        assertEquals(countEffects(ModelEffect.WriteApplied.class), 1);
+        assertEquals(countEffects(ModelEffect.WriteAppended.class), 1);
         assertEquals(answer(1), null, "no replica has received it");
         handle(new ModelEvent.FaultInjected(Kind.RESTART, 1));
         handle(new ModelEvent.FaultInjected(Kind.CRASH, 0));
         advance(10_000 * MILLIS);
         assertEquals(group.leader(), 1);
-        assertEquals(countEffects(ModelEffect.ConnectionBroken.class), 1);
+        assertEquals(countEffects(ModelEffect.ConnectionFailed.class), 1);
     }
 
     @Test
     public void hungPrimaryIsDeposedAndStillClaimsItsRoleWhenItResumes() {
         handle(new ModelEvent.FaultInjected(Kind.HANG, 0));
-        handle(new ModelEvent.QueryReceived(1, 0, "k", 0));
+        handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(2_800 * MILLIS);
         assertEquals(group.leader(), -1);
         advance(3_900 * MILLIS);
@@ -99,13 +99,13 @@
         handle(new ModelEvent.HealthCheckReceived(3, 0));
         assertEquals(answer(3).role(), Role.REPLICA);
         assertEquals(answer(1).result(), AttemptResult.ERROR, "the write may have been executed");
-        assertEquals(countEffects(ModelEffect.WriteApplied.class), 0);
+        assertEquals(countEffects(ModelEffect.WriteAppended.class), 0);
     }
 
     @Test
     public void hungPrimaryThatResumesBeforeItsFailureIsDetectedKeepsLeading() {
         handle(new ModelEvent.FaultInjected(Kind.HANG, 0));
-        handle(new ModelEvent.QueryReceived(1, 0, "k", 0));
+        handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(1_000 * MILLIS);
         handle(new ModelEvent.FaultInjected(Kind.RESTART, 0));
         advance(100 * MILLIS);
@@ -117,17 +117,17 @@
 
     @Test
     public void drainingPrimaryCompletesItsWritesAndHandsOver() {
-        handle(new ModelEvent.QueryReceived(1, 0, "k", 0));
+        handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         handle(new ModelEvent.FaultInjected(Kind.DRAIN, 0));
-        handle(new ModelEvent.QueryReceived(2, 0, "l", 0));
+        handle(new ModelEvent.StatementReceived(2, 0, "l", 0));
         assertEquals(answer(2).result(), AttemptResult.REJECTED_OVERLOADED);
         advance(1_000 * MILLIS);
         assertEquals(answer(1).result(), AttemptResult.OK);
         assertTrue(group.leader() > 0);
-        handle(new ModelEvent.QueryReceived(3, group.leader(), "k", 0));
+        handle(new ModelEvent.StatementReceived(3, group.leader(), "k", 0));
         advance(100 * MILLIS);
         assertEquals(answer(3).result(), AttemptResult.OK);
-        assertEquals(countEffects(ModelEffect.WriteApplied.class), 1, "the successor knows the key from the log");
+        assertEquals(countEffects(ModelEffect.WriteAppended.class), 1, "the successor knows the key from the log");
     }
 
     @Test
@@ -137,7 +137,7 @@
         for (long exchangeId = 1;
                 exchangeId <= 1_000 && countEffects(ModelEffect.MemberCollapsed.class) == 0;
                 exchangeId++) {
-            handle(new ModelEvent.QueryReceived(exchangeId, 1, null, 0));
+            handle(new ModelEvent.StatementReceived(exchangeId, 1, null, 0));
             advance(MILLIS);
         }
         assertEquals(countEffects(ModelEffect.MemberCollapsed.class), 1);
@@ -149,8 +149,8 @@
     @Test
     public void readWaitsForItsPositionAndIsRejectedWhenThatIsFar() {
         advance(10 * MILLIS);
-        handle(new ModelEvent.QueryReceived(1, 1, null, now));
-        handle(new ModelEvent.QueryReceived(2, 2, null, now + 500 * MILLIS));
+        handle(new ModelEvent.StatementReceived(1, 1, null, now));
+        handle(new ModelEvent.StatementReceived(2, 2, null, now + 500 * MILLIS));
         advance(60 * MILLIS);
         assertEquals(answer(1).result(), AttemptResult.OK);
         assertTrue(answer(1).position() >= START + 10 * MILLIS);
--- a/src/test/java/crankwick/model/WarmUpTest.java
+++ b/src/test/java/crankwick/model/WarmUpTest.java
@@ -28,7 +28,7 @@
 
     @Test
     public void workBeyondTheMultipleOfItsCapacityOverloadsAColdMember() {
-        double limit = SETTINGS.overloadMultiple() * 0.18 * SETTINGS.cores() * SETTINGS.overloadWindowMicros();
+        double limit = SETTINGS.overloadMultiple() * 0.18 * SETTINGS.coresPerMember() * SETTINGS.overloadWindowMicros();
         WarmUp warmUp = started();
         assertFalse(warmUp.isOverloadedBy(limit, START));
         assertTrue(warmUp.isOverloadedBy(1, START));
@@ -36,7 +36,7 @@
 
     @Test
     public void workOutsideTheWindowAndWorkAtAWarmMemberDoNotCount() {
-        double limit = SETTINGS.overloadMultiple() * 0.18 * SETTINGS.cores() * SETTINGS.overloadWindowMicros();
+        double limit = SETTINGS.overloadMultiple() * 0.18 * SETTINGS.coresPerMember() * SETTINGS.overloadWindowMicros();
         WarmUp warmUp = started();
         assertFalse(warmUp.isOverloadedBy(limit, START));
         assertFalse(warmUp.isOverloadedBy(limit, START + SETTINGS.overloadWindowMicros() + 1));
