--- a/src/main/java/crankwick/model/DelayRange.java
+++ b/src/main/java/crankwick/model/DelayRange.java
@@ -1,9 +1,9 @@
 package crankwick.model;
 
 /**
- * Delays that are drawn uniformly.
+ * A range from which delays are drawn uniformly.
  *
- * @param minMicros the shortest delay, in microseconds
- * @param maxMicros the bound that a delay stays below, in microseconds; equal to the shortest for a fixed one
+ * @param minMicros the minimum delay, in microseconds
+ * @param maxMicros the exclusive upper bound, in microseconds; equal to the minimum for a fixed delay
  */
 public record DelayRange(long minMicros, long maxMicros) {}
--- a/src/main/java/crankwick/model/Failover.java
+++ b/src/main/java/crankwick/model/Failover.java
@@ -5,8 +5,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Changes of the leader: failure detection, election, and what a deposed leader does. The most advanced member
- * takes over, of several the one that has been up longest.
+ * Changes of the leader: failure detection, election, and demotion of a deposed leader. The member that has
+ * received the most log entries is elected; ties go to the member with the earliest process start.
  */
 final class Failover {
     private static final long ELECTION_RETRY_MICROS = 200_000;
@@ -36,35 +36,35 @@
         this.replication = replication;
     }
 
-    /** A member has crashed or hangs: if it led, its failure is detected some time later. */
+    /** A member has crashed or hangs: if it was the leader, its failure is declared after the detection delay. */
     void onUnresponsive(Member member) {
         if (!leadership.isLeader(member)) {
             return;
         }
-        member.progress().loseLeadership(context.now());
-        leadership.lose(context.now());
+        member.progress().recordLeadershipLoss(context.now());
+        leadership.markLost(context.now());
         context.emit(new ModelEffect.LeaderLost(member.index(), false));
         context.scheduleAfter(
-                context.draw(settings.failureDetectionDelay()), leadership.inThisEpoch(() -> declareFailed(member)));
+                context.draw(settings.failureDetectionDelay()), leadership.guardedByEpoch(() -> declareFailed(member)));
     }
 
     private void declareFailed(Member member) {
         leadership.declareFailed();
-        replication.rollBackUnreceived(member);
-        context.scheduleAfter(context.draw(settings.electionDelay()), leadership.inThisEpoch(this::electLeader));
+        replication.rollBackUnreplicated(member);
+        context.scheduleAfter(context.draw(settings.electionDelay()), leadership.guardedByEpoch(this::electLeader));
     }
 
     private void electLeader() {
-        Member best = null;
+        Member candidate = null;
         for (Member member : members) {
-            if (isEligible(member) && (best == null || isPreferred(member, best))) {
-                best = member;
+            if (isEligible(member) && (candidate == null || isPreferred(member, candidate))) {
+                candidate = member;
             }
         }
-        if (best == null) {
-            context.scheduleAfter(ELECTION_RETRY_MICROS, leadership.inThisEpoch(this::electLeader));
+        if (candidate == null) {
+            context.scheduleAfter(ELECTION_RETRY_MICROS, leadership.guardedByEpoch(this::electLeader));
         } else {
-            promote(best);
+            promote(candidate);
         }
     }
 
@@ -89,7 +89,10 @@
         context.emit(new ModelEffect.LeaderElected(member.index()));
     }
 
-    /** A member learns that another leads: unanswered writes that have begun may have run, queued ones have not. */
+    /**
+     * A deposed leader gives up the primary role. Writes that it has started may have been executed, so they end
+     * with ERROR; queued writes were not executed and are rejected as INELIGIBLE_REPLICA.
+     */
     private void demote(Member member) {
         member.setClaimsPrimary(false);
         member.progress().catchUpTo(log.end());
@@ -103,45 +106,50 @@
         }
     }
 
-    /** A member begins to drain: if it leads, another is elected some time later. */
+    /** A member starts draining: if it is the leader, it hands over after the handover delay. */
     void onDraining(Member member) {
         if (!leadership.isLeader(member)) {
             return;
         }
         context.emit(new ModelEffect.LeaderLost(member.index(), true));
-        context.scheduleAfter(context.draw(settings.handoverDelay()), leadership.inThisEpoch(() -> handOver(member)));
+        context.scheduleAfter(
+                context.draw(settings.handoverDelay()), leadership.guardedByEpoch(() -> completeHandover(member)));
     }
 
-    private void handOver(Member leader) {
-        replication.completeBeforeHandOver(leader);
-        leader.progress().loseLeadership(context.now());
-        leadership.handOver(context.now());
+    private void completeHandover(Member leader) {
+        replication.completeForHandover(leader);
+        leader.progress().recordLeadershipLoss(context.now());
+        leadership.beginHandover(context.now());
         electLeader();
     }
 
-    /** A member's process is back, or goes on: it resumes as the leader, learns of another, or catches up. */
+    /**
+     * A member's process has restarted or resumed after a hang. The most recent leader resumes its role if its
+     * failure has not been declared yet; a deposed leader is demoted after a delay; a replica catches up with the
+     * log.
+     */
     void onResponsive(Member member) {
         if (leadership.isMostRecentLeader(member) && !leadership.hasLeader() && !member.isDraining()) {
             if (leadership.isDetectingFailure()) {
-                resume(member);
+                resumeLeadership(member);
             } else {
-                demoteLater(member, () -> true);
+                scheduleDemotion(member, () -> true);
             }
         } else if (member.claimsPrimary() && !leadership.isLeader(member)) {
-            demoteLater(member, member::claimsPrimary);
+            scheduleDemotion(member, member::claimsPrimary);
         } else if (!leadership.isLeader(member)) {
             member.progress().catchUpTo(log.end());
         }
     }
 
-    private void resume(Member member) {
+    private void resumeLeadership(Member member) {
         leadership.resume();
         member.setClaimsPrimary(true);
         context.emit(new ModelEffect.LeaderElected(member.index()));
-        replication.sendAgain(member);
+        replication.resendUnreceived(member);
     }
 
-    private void demoteLater(Member member, BooleanSupplier condition) {
+    private void scheduleDemotion(Member member, BooleanSupplier condition) {
         long incarnation = member.startedAt();
         context.scheduleAfter(context.draw(settings.demotionDelay()), () -> {
             boolean sameProcess = member.startedAt() == incarnation && member.isUp();
--- a/src/main/java/crankwick/model/GroupModel.java
+++ b/src/main/java/crankwick/model/GroupModel.java
@@ -5,12 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * One group of replicated databases as a state machine: (event, now) in, effects out, the same for the same
- * seed. It has no threads, sockets or clock, so that simulated time and sockets can both host it.
+ * One group of replicated databases as a deterministic state machine: an event and the current time in, effects
+ * out; the same seed and events give the same effects. The model has no threads, sockets or clock, so that both
+ * the simulation and the emulator can host it.
  *
- * <p>The log is the group's one history. A write is answered once another member has received its entry, as
- * in semi-synchronous replication; entries that nobody received are rolled back when their leader fails. What
- * a deposed leader does before it learns of its successor is never answered.
+ * <p>The group has a single replication log. A write is acknowledged once another member has received its entry
+ * (semi-synchronous replication). When a leader fails, entries that no other member has received are rolled back.
+ * Writes that a deposed leader executes before its demotion are never acknowledged.
  */
 public final class GroupModel {
     private final List<Member> members = new ArrayList<>();
@@ -20,7 +21,7 @@
     private final StatementExecutor executor;
     private final ProcessLifecycle lifecycle;
 
-    /** A group whose member 0 leads. */
+    /** Creates a group with member 0 as the leader. */
     public GroupModel(ModelSettings settings, long seed, long now) {
         for (int i = 0; i < settings.memberCount(); i++) {
             members.add(new Member(i, settings, now));
@@ -36,15 +37,15 @@
         lifecycle = new ProcessLifecycle(context, leadership, responder, executor, failover);
     }
 
-    /** Takes one event at a time in microseconds, which never goes back. */
+    /** Handles one event; {@code time} is in microseconds and never decreases between calls. */
     public void handle(ModelEvent event, long time, Consumer<ModelEffect> effects) {
         context.beginEvent(time, effects);
         if (event instanceof ModelEvent.StatementReceived e) {
-            onQuery(members.get(e.member()), e);
+            onStatement(members.get(e.member()), e);
         } else if (event instanceof ModelEvent.HealthCheckReceived e) {
             onHealthCheck(members.get(e.member()), e.exchangeId());
         } else if (event instanceof ModelEvent.ConnectionClosed e) {
-            members.forEach(member -> member.workload().abandon(e.exchangeId()));
+            members.forEach(member -> member.workload().onConnectionClosed(e.exchangeId()));
         } else if (event instanceof ModelEvent.FaultInjected e) {
             lifecycle.onFault(members.get(e.member()), e.kind());
         } else {
@@ -52,15 +53,15 @@
         }
     }
 
-    private void onQuery(Member member, ModelEvent.StatementReceived query) {
+    private void onStatement(Member member, ModelEvent.StatementReceived request) {
         if (member.refusesConnections()) {
-            context.emit(new ModelEffect.ConnectionFailed(query.exchangeId(), member.index(), true));
+            context.emit(new ModelEffect.ConnectionFailed(request.exchangeId(), member.index(), true));
             return;
         }
-        StatementExecution statement = member.workload().register(query);
+        StatementExecution statement = member.workload().register(request);
         if (member.isHung()) {
             member.workload().enqueue(statement);
-        } else if (member.warmUp().isOverloadedBy(executor.meanWork(query), context.now())) {
+        } else if (member.warmUp().recordWorkAndCheckOverload(executor.meanWork(request), context.now())) {
             lifecycle.collapse(member);
         } else {
             executor.submit(member, statement);
@@ -71,49 +72,49 @@
         if (member.refusesConnections()) {
             context.emit(new ModelEffect.ConnectionFailed(exchangeId, member.index(), true));
         } else if (member.isHung()) {
-            member.workload().holdHealthCheck(exchangeId);
+            member.workload().bufferHealthCheck(exchangeId);
         } else {
             responder.answerHealthCheck(member, exchangeId);
         }
     }
 
-    /** When {@link ModelEvent.TimerDue} is wanted next; Long.MAX_VALUE for never. */
+    /** When the host must deliver the next {@link ModelEvent.TimerDue}, in microseconds; Long.MAX_VALUE for never. */
     public long nextTimerDue() {
         return context.nextTimerDue();
     }
 
-    /** The index of the member that takes writes now, or -1. */
+    /** The index of the current leader, or -1 if the group has none. */
     public int leader() {
         return leadership.leader();
     }
 
-    /** The index of the member that took writes last, or does now. */
+    /** The index of the current leader or, if the group has none, of the previous leader. */
     public int mostRecentLeader() {
         return leadership.mostRecentLeader();
     }
 
-    /** Whether a write would be answered now: there is a leader, and another member can receive its entry. */
+    /** Whether a write can be acknowledged now: the group has a leader, and another member is up to receive entries. */
     public boolean canCommitWrites() {
         return leadership.hasLeader()
                 && members.stream().anyMatch(member -> member.isUp() && !leadership.isLeader(member));
     }
 
-    /** Whether connections to a member come up, and work there is answered. */
+    /** Whether a member accepts connections and answers requests. */
     public boolean isResponsive(int member) {
         return members.get(member).isUp();
     }
 
-    /** Whether connections to a member are refused at once. */
+    /** Whether connections to a member are refused because its process has ended. */
     public boolean refusesConnections(int member) {
         return members.get(member).refusesConnections();
     }
 
-    /** Whether a member rejects new work before it ends. */
+    /** Whether a member is draining and rejects new statements. */
     public boolean isDraining(int member) {
         return members.get(member).isDraining();
     }
 
-    /** When a member last started, in microseconds; 0 for long ago. */
+    /** When a member last started, in microseconds; 0 if it has not restarted since the model was created. */
     public long startedAt(int member) {
         return Math.max(0, members.get(member).startedAt());
     }
--- a/src/main/java/crankwick/model/IdempotencyKeys.java
+++ b/src/main/java/crankwick/model/IdempotencyKeys.java
@@ -4,35 +4,35 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The idempotency keys that a group remembers, each for a fixed time from its commit on. */
+/** The idempotency keys of committed writes; each key expires a fixed time after its commit. */
 final class IdempotencyKeys {
     private final long ttlMicros;
     private final Map<String, Long> committedAt = new HashMap<>();
-    private final ArrayDeque<LogEntry> byAge = new ArrayDeque<>();
+    private final ArrayDeque<LogEntry> oldestFirst = new ArrayDeque<>();
 
     IdempotencyKeys(long ttlMicros) {
         this.ttlMicros = ttlMicros;
     }
 
-    /** When a key that is still remembered was committed; null for others. */
-    Long commitOf(String key, long now) {
-        Long commit = committedAt.get(key);
-        return commit != null && now - commit < ttlMicros ? commit : null;
+    /** The commit time of a key; null if the key is unknown or has expired. */
+    Long commitTime(String key, long now) {
+        Long commitTime = committedAt.get(key);
+        return commitTime != null && now - commitTime < ttlMicros ? commitTime : null;
     }
 
-    /** Remembers a new entry's key, and forgets those whose time is over. */
-    void remember(LogEntry entry, long now) {
+    /** Adds the key of a new entry, and removes expired keys. */
+    void add(LogEntry entry, long now) {
         committedAt.put(entry.idempotencyKey(), entry.committedAt());
-        byAge.add(entry);
-        while (now - byAge.peek().committedAt() >= ttlMicros) {
-            LogEntry expired = byAge.poll();
+        oldestFirst.add(entry);
+        while (now - oldestFirst.peek().committedAt() >= ttlMicros) {
+            LogEntry expired = oldestFirst.poll();
             committedAt.remove(expired.idempotencyKey(), expired.committedAt());
         }
     }
 
-    /** Forgets an entry that has left the log. */
-    void forget(LogEntry entry) {
+    /** Removes the key of an entry that was rolled back. */
+    void remove(LogEntry entry) {
         committedAt.remove(entry.idempotencyKey(), entry.committedAt());
-        byAge.remove(entry);
+        oldestFirst.remove(entry);
     }
 }
--- a/src/main/java/crankwick/model/Leadership.java
+++ b/src/main/java/crankwick/model/Leadership.java
@@ -1,18 +1,18 @@
 package crankwick.model;
 
-/** Who leads the group, and the epoch that outdates what was scheduled under an earlier leader. */
+/** The group's current leader, and the leadership epoch that invalidates tasks scheduled in an earlier epoch. */
 final class Leadership {
-    /** The index that stands for no leader. */
+    /** The index that {@link #leader()} returns if the group has no leader. */
     static final int NO_LEADER = -1;
 
     private enum State {
-        LED,
-        /** The last leader is gone and not yet declared failed: it resumes if it comes back. */
+        LEADER_ACTIVE,
+        /** The leader is unresponsive but not declared failed yet: it resumes its role if it recovers. */
         DETECTING_FAILURE,
         ELECTING
     }
 
-    private State state = State.LED;
+    private State state = State.LEADER_ACTIVE;
     private int mostRecentLeader;
     private long epoch;
     private long lastHeartbeatAt;
@@ -21,9 +21,9 @@
         lastHeartbeatAt = now;
     }
 
-    /** The index of the leader, or {@link #NO_LEADER}. */
+    /** The index of the current leader, or {@link #NO_LEADER}. */
     int leader() {
-        return state == State.LED ? mostRecentLeader : NO_LEADER;
+        return state == State.LEADER_ACTIVE ? mostRecentLeader : NO_LEADER;
     }
 
     int mostRecentLeader() {
@@ -31,24 +31,24 @@
     }
 
     boolean hasLeader() {
-        return state == State.LED;
+        return state == State.LEADER_ACTIVE;
     }
 
     boolean isLeader(Member member) {
-        return state == State.LED && member.index() == mostRecentLeader;
+        return state == State.LEADER_ACTIVE && member.index() == mostRecentLeader;
     }
 
-    /** Whether a member led last, or does now. */
+    /** Whether a member is the current leader or, if the group has none, was the previous leader. */
     boolean isMostRecentLeader(Member member) {
         return member.index() == mostRecentLeader;
     }
 
-    /** Whether a leader that is back may simply resume. */
+    /** Whether the leader is unresponsive but not declared failed, so that it resumes its role if it recovers. */
     boolean isDetectingFailure() {
         return state == State.DETECTING_FAILURE;
     }
 
-    void lose(long now) {
+    void markLost(long now) {
         state = State.DETECTING_FAILURE;
         lastHeartbeatAt = now;
         epoch++;
@@ -59,25 +59,25 @@
         epoch++;
     }
 
-    /** The leader has drained: an election follows at once. */
-    void handOver(long now) {
+    /** The leader has drained; the caller starts an election immediately. */
+    void beginHandover(long now) {
         state = State.ELECTING;
         lastHeartbeatAt = now;
         epoch++;
     }
 
     void resume() {
-        state = State.LED;
+        state = State.LEADER_ACTIVE;
         epoch++;
     }
 
     void elect(Member member) {
-        state = State.LED;
+        state = State.LEADER_ACTIVE;
         mostRecentLeader = member.index();
         epoch++;
     }
 
-    /** Up to when replicas know that they have heard of every write. */
+    /** Time of the last heartbeat, up to which replicas know of every committed write; in microseconds. */
     long lastHeartbeatAt() {
         return lastHeartbeatAt;
     }
@@ -86,8 +86,8 @@
         lastHeartbeatAt = now;
     }
 
-    /** A task that does nothing once the present epoch is over. */
-    Runnable inThisEpoch(Runnable task) {
+    /** Wraps a task so that it does nothing if the epoch has changed by the time it runs. */
+    Runnable guardedByEpoch(Runnable task) {
         long expected = epoch;
         return () -> {
             if (epoch == expected) {
--- a/src/main/java/crankwick/model/LogEntry.java
+++ b/src/main/java/crankwick/model/LogEntry.java
@@ -1,4 +1,4 @@
 package crankwick.model;
 
-/** An entry of the replication log: a write's idempotency key and when it was committed, in microseconds. */
+/** An entry of the replication log: a write's idempotency key and its commit time in microseconds. */
 record LogEntry(String idempotencyKey, long committedAt) {}
--- a/src/main/java/crankwick/model/Member.java
+++ b/src/main/java/crankwick/model/Member.java
@@ -1,13 +1,13 @@
 package crankwick.model;
 
-/** One member of a group: its process, role, work and progress. */
+/** One member of a group: its process state, role, workload and replication progress. */
 final class Member {
-    /** What a member's process does. */
+    /** State of a member's process. */
     enum ProcessState {
         UP,
         HUNG,
         DOWN,
-        /** Down after an overload, for good. */
+        /** Down after an overload; a restart is ignored. */
         COLLAPSED
     }
 
@@ -42,7 +42,7 @@
         return warmUp;
     }
 
-    /** When its process last started; tells one incarnation from the next. */
+    /** Time of the last process start, in microseconds; identifies the process incarnation. */
     long startedAt() {
         return warmUp.startedAt();
     }
@@ -63,7 +63,7 @@
         return state == ProcessState.HUNG;
     }
 
-    /** The process has ended, so that connections are refused. */
+    /** Whether connections are refused because the process has ended. */
     boolean refusesConnections() {
         return state == ProcessState.DOWN || state == ProcessState.COLLAPSED;
     }
@@ -76,7 +76,7 @@
         draining = drains;
     }
 
-    /** Whether it believes itself the primary, rightly or not. */
+    /** Whether the member reports the primary role; a deposed primary does so until it is demoted. */
     boolean claimsPrimary() {
         return claimsPrimary;
     }
--- a/src/main/java/crankwick/model/MemberResponder.java
+++ b/src/main/java/crankwick/model/MemberResponder.java
@@ -4,7 +4,7 @@
 import crankwick.routing.api.LoadReport;
 import crankwick.routing.api.Role;
 
-/** Answers statements and health checks of a member with its role, position and load. */
+/** Answers statements and health checks at a member, with its role, replication position and load report. */
 final class MemberResponder {
     private final ModelSettings settings;
     private final ModelContext context;
@@ -18,13 +18,13 @@
         this.log = log;
     }
 
-    /** Answers a statement, unless its connection has ended. A committed write's position is the present. */
+    /** Answers a statement, unless its connection has ended. The position of a committed write is the current time. */
     void answer(Member member, StatementExecution statement, AttemptResult result) {
         member.workload().markAnswered(statement);
         if (!statement.isAbandoned()) {
             boolean committed = statement.isWrite() && result == AttemptResult.OK;
             long position = committed ? context.now() : position(member);
-            emitAnswer(statement.query().exchangeId(), member, result, position);
+            emitAnswer(statement.request().exchangeId(), member, result, position);
         }
     }
 
@@ -38,8 +38,10 @@
     }
 
     /**
-     * The position up to which a member has seen all writes, in microseconds: the present at the leader, the
-     * loss of leadership at a deposed one, and just before the first entry to be applied at a replica.
+     * The time up to which a member has seen all writes, in microseconds. Leader: the current time. Deposed leader
+     * that still claims the role: the time at which it lost leadership. Replica with unapplied entries: just before
+     * the first of them. Other replicas: the current time, or the last heartbeat if the group has no leader, less
+     * the maximum replication delay.
      */
     long position(Member member) {
         ReplicaProgress progress = member.progress();
@@ -53,8 +55,8 @@
         if (progress.applied() < log.end()) {
             return progress.report(log.get(progress.applied()).committedAt() - 1);
         }
-        long heardOf = leadership.hasLeader() ? context.now() : leadership.lastHeartbeatAt();
-        return progress.report(heardOf - settings.replicationDelay().maxMicros());
+        long allWritesKnownUpTo = leadership.hasLeader() ? context.now() : leadership.lastHeartbeatAt();
+        return progress.report(allWritesKnownUpTo - settings.replicationDelay().maxMicros());
     }
 
     private static Role role(Member member) {
--- a/src/main/java/crankwick/model/MemberWorkload.java
+++ b/src/main/java/crankwick/model/MemberWorkload.java
@@ -6,22 +6,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** The statements at one member: queued ones, busy cores, and the health checks that a hung process holds. */
+/** One member's statements (queued and executing), its busy cores, and health checks buffered during a hang. */
 final class MemberWorkload {
     private final int cores;
     private final Map<Long, StatementExecution> unanswered = new LinkedHashMap<>();
     private final ArrayDeque<StatementExecution> queue = new ArrayDeque<>();
-    private final List<Long> heldHealthChecks = new ArrayList<>();
+    private final List<Long> bufferedHealthChecks = new ArrayList<>();
     private int busyCores;
 
     MemberWorkload(int cores) {
         this.cores = cores;
     }
 
-    /** Registers a statement, which is still to be queued or answered. */
-    StatementExecution register(ModelEvent.StatementReceived query) {
-        StatementExecution statement = new StatementExecution(query);
-        unanswered.put(query.exchangeId(), statement);
+    /** Registers a statement as unanswered; the caller then queues or answers it. */
+    StatementExecution register(ModelEvent.StatementReceived request) {
+        StatementExecution statement = new StatementExecution(request);
+        unanswered.put(request.exchangeId(), statement);
         return statement;
     }
 
@@ -33,12 +33,12 @@
         return queue.size();
     }
 
-    /** Share of the cores that execute a statement, 0 to 1. */
+    /** Fraction of the cores that are busy, 0 to 1. */
     double utilization() {
         return Math.min(1, busyCores / (double) cores);
     }
 
-    /** Gives the next queued statement to a free core; null without either. */
+    /** Starts the next queued statement on a free core; returns null if the queue is empty or no core is free. */
     StatementExecution startNext() {
         if (busyCores >= cores || queue.isEmpty()) {
             return null;
@@ -54,7 +54,7 @@
     }
 
     void markAnswered(StatementExecution statement) {
-        unanswered.remove(statement.query().exchangeId());
+        unanswered.remove(statement.request().exchangeId());
     }
 
     void removeFromQueue(StatementExecution statement) {
@@ -65,20 +65,20 @@
         return unanswered.values().stream().filter(StatementExecution::isWrite).toList();
     }
 
-    void holdHealthCheck(long exchangeId) {
-        heldHealthChecks.add(exchangeId);
+    void bufferHealthCheck(long exchangeId) {
+        bufferedHealthChecks.add(exchangeId);
     }
 
-    /** The health checks that came while the process hung, which are held no longer. */
+    /** Removes and returns the health checks that were buffered while the process hung. */
     List<Long> releaseHealthChecks() {
-        List<Long> released = List.copyOf(heldHealthChecks);
-        heldHealthChecks.clear();
+        List<Long> released = List.copyOf(bufferedHealthChecks);
+        bufferedHealthChecks.clear();
         return released;
     }
 
-    /** The connection of an exchange has ended: executing work goes on, queued work is dropped. */
-    void abandon(long exchangeId) {
-        heldHealthChecks.remove(exchangeId);
+    /** The connection of an exchange has ended: an executing statement continues, a queued one is removed. */
+    void onConnectionClosed(long exchangeId) {
+        bufferedHealthChecks.remove(exchangeId);
         StatementExecution statement = unanswered.remove(exchangeId);
         if (statement != null) {
             statement.abandon();
@@ -86,13 +86,13 @@
         }
     }
 
-    /** Ends everything with the process; returns the exchanges whose connections break. */
+    /** Removes all work when the process ends; returns the exchanges whose connections fail. */
     List<Long> clear() {
         List<Long> exchangeIds = new ArrayList<>(unanswered.keySet());
-        exchangeIds.addAll(heldHealthChecks);
+        exchangeIds.addAll(bufferedHealthChecks);
         unanswered.values().forEach(StatementExecution::abandon);
         unanswered.clear();
-        heldHealthChecks.clear();
+        bufferedHealthChecks.clear();
         queue.clear();
         busyCores = 0;
         return exchangeIds;
--- a/src/main/java/crankwick/model/ModelContext.java
+++ b/src/main/java/crankwick/model/ModelContext.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** What all parts of one group share: its time, timers, random numbers and the receiver of its effects. */
+/** State shared by all parts of one group: current time, timers, random numbers and the receiver of effects. */
 final class ModelContext {
-    /** The sequence number keeps timers that are due together in the order of their creation. */
+    /** Timers with the same due time run in creation order, by sequence number. */
     private record Timer(long dueAt, long sequence, Runnable task) {}
 
     private final SplittableRandom random;
@@ -22,13 +22,13 @@
         this.now = now;
     }
 
-    /** Moves time on for one event, whose effects go to the given receiver. */
+    /** Sets the current time and the receiver of effects for one event. */
     void beginEvent(long time, Consumer<ModelEffect> receiver) {
         now = time;
         effects = receiver;
     }
 
-    /** The time, in microseconds. */
+    /** The current time, in microseconds. */
     long now() {
         return now;
     }
@@ -51,20 +51,20 @@
         }
     }
 
-    /** When the next timer is due; Long.MAX_VALUE for never. */
+    /** When the next timer is due, in microseconds; Long.MAX_VALUE for never. */
     long nextTimerDue() {
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt;
     }
 
-    /** Draws a delay; a range of one value takes no random number. */
+    /** Draws a delay; a fixed delay consumes no random number. */
     long draw(DelayRange range) {
         long min = range.minMicros();
         long max = range.maxMicros();
         return min + (max > min ? random.nextLong(max - min) : 0);
     }
 
-    /** Draws uniformly from 0 to 1, without 1. */
-    double drawShare() {
+    /** Draws uniformly from [0, 1). */
+    double drawUniform() {
         return random.nextDouble();
     }
 }
--- a/src/main/java/crankwick/model/ModelEvent.java
+++ b/src/main/java/crankwick/model/ModelEvent.java
@@ -1,15 +1,15 @@
 package crankwick.model;
 
 /**
- * What a group of databases is told. Members count from 0; an exchange is one statement or health check, whose
- * id the host never uses twice.
+ * Input events of a group of databases. Member indexes start at 0. An exchange is one statement or health check;
+ * its id is chosen by the host and never reused.
  */
 public sealed interface ModelEvent {
     /**
-     * A statement's last byte has arrived.
+     * A member has received a complete statement.
      *
-     * @param idempotencyKey of a write; null for a read
-     * @param requiredPosition the position that a read must see, in microseconds; 0 for none
+     * @param idempotencyKey the key of a write; null for a read
+     * @param requiredPosition the minimum replication position for a read, in microseconds; 0 for none
      */
     record StatementReceived(long exchangeId, int member, String idempotencyKey, long requiredPosition)
             implements ModelEvent {
@@ -18,27 +18,27 @@
         }
     }
 
-    /** A health check, which asks for the load report, has arrived. */
+    /** A member has received a health check, which requests its load report. */
     record HealthCheckReceived(long exchangeId, int member) implements ModelEvent {}
 
     /** The connection of an exchange has ended. */
     record ConnectionClosed(long exchangeId) implements ModelEvent {}
 
-    /** A fault of a member's process begins, or is over. */
+    /** A fault of a member's process starts, or ends with {@link Kind#RESTART}. */
     record FaultInjected(Kind kind, int member) implements ModelEvent {
-        /** The kinds of faults, and their end. */
+        /** The kinds of faults, and the restart that ends them. */
         public enum Kind {
-            /** The process ends: its connections break, and new ones are refused. */
+            /** The process ends: its connections fail, and new connections are refused. */
             CRASH,
-            /** Nothing is answered, and connections stay. */
+            /** The process stops answering; its connections stay open. */
             HANG,
-            /** New work is rejected; a leader hands over. */
+            /** The member rejects new statements; a leader hands over. */
             DRAIN,
-            /** A process that is down or has drained starts again, cold; a hung one goes on where it was. */
+            /** A process that is down or has drained starts again and warms up; a hung process resumes. */
             RESTART
         }
     }
 
-    /** The time that {@link GroupModel#nextTimerDue} gave has come. */
+    /** The time returned by {@link GroupModel#nextTimerDue} has been reached. */
     record TimerDue() implements ModelEvent {}
 }
--- a/src/main/java/crankwick/model/ModelSettings.java
+++ b/src/main/java/crankwick/model/ModelSettings.java
@@ -3,23 +3,23 @@
 /**
  * Settings of one modelled group; times in microseconds.
  *
- * @param memberCount databases in the group, 2 to 64
- * @param coresPerMember statements that one member executes at once
- * @param maxQueuedStatements statements that wait at one member before further ones are rejected
- * @param meanReadWorkMicros mean work of a read on a warm core, exponentially distributed
- * @param meanWriteWorkMicros mean work of a write on a warm core, exponentially distributed
- * @param replicationDelay time until a replica has received an entry of the log; entries stay in order
- * @param applyWorkMicros what a replica's one apply thread takes for each entry
- * @param maxReadWaitMicros how long a member lets a read wait for a position that it has not reached
- * @param keyTtlMicros how long an idempotency key is remembered from its commit on
- * @param failureDetectionDelay time from a primary's crash or hang until it is declared failed
- * @param electionDelay time from that declaration until a replica takes over
+ * @param memberCount number of databases in the group, 2 to 64
+ * @param coresPerMember number of statements that a member executes concurrently
+ * @param maxQueuedStatements queue length at which a member rejects further statements
+ * @param meanReadWorkMicros mean execution time of a read at full capacity, exponentially distributed
+ * @param meanWriteWorkMicros mean execution time of a write at full capacity, exponentially distributed
+ * @param replicationDelay time until a replica receives a log entry; entries arrive in order
+ * @param applyWorkMicros time that a replica's single apply thread needs per entry
+ * @param maxReadWaitMicros how long a read waits for its required position before it is rejected
+ * @param keyTtlMicros how long an idempotency key is stored after its commit
+ * @param failureDetectionDelay time from a primary's crash or hang until its failure is declared
+ * @param electionDelay time from the declared failure until the election of a new leader
  * @param handoverDelay time from the start of a primary's drain until its successor is elected
- * @param demotionDelay how long a deposed primary that is back claims its old role
- * @param initialCapacity share of the capacity at a start, 0 to 1, growing linearly over {@code warmUpMicros}
- * @param warmUpMicros time from a start until the full capacity is reached
- * @param overloadMultiple a cold member collapses when sent this multiple of its capacity
- * @param overloadWindowMicros the sliding window over which that work is summed up
+ * @param demotionDelay how long a deposed primary claims the primary role after it restarts or resumes
+ * @param initialCapacity fraction of the full capacity at process start; grows linearly over {@code warmUpMicros}
+ * @param warmUpMicros time from process start until full capacity
+ * @param overloadMultiple a member that is warming up collapses above this multiple of its current capacity
+ * @param overloadWindowMicros the sliding window over which received work is summed for the overload check
  */
 public record ModelSettings(
         int memberCount,
--- a/src/main/java/crankwick/model/ProcessLifecycle.java
+++ b/src/main/java/crankwick/model/ProcessLifecycle.java
@@ -4,7 +4,7 @@
 import crankwick.model.ModelEvent.FaultInjected.Kind;
 import java.util.List;
 
-/** The faults of members' processes: crashes, hangs, drains, collapses, and restarts. */
+/** Crashes, hangs, drains, collapses and restarts of members' processes. */
 final class ProcessLifecycle {
     private final ModelContext context;
     private final Leadership leadership;
@@ -34,7 +34,7 @@
         }
     }
 
-    /** A cold member was sent more than it bears. */
+    /** Stops a member that was overloaded while warming up; a restart of the member is ignored. */
     void collapse(Member member) {
         stop(member, ProcessState.COLLAPSED);
         context.emit(new ModelEffect.MemberCollapsed(member.index()));
@@ -64,7 +64,7 @@
         }
     }
 
-    /** A process that is down or has drained starts again; a hung one goes on where it was. */
+    /** Starts a process that is down or has drained; resumes a hung process. */
     private void restart(Member member) {
         if (member.state() == ProcessState.COLLAPSED) {
             return;
--- a/src/main/java/crankwick/model/ReplicaProgress.java
+++ b/src/main/java/crankwick/model/ReplicaProgress.java
@@ -1,8 +1,8 @@
 package crankwick.model;
 
 /**
- * How far a member has received and applied the log, as counts of entries from the log's beginning, and what
- * bounds the position that it reports.
+ * How far a member has received and applied the log, as numbers of entries since the start of the log, and the
+ * replication position that the member reported last.
  */
 final class ReplicaProgress {
     private long received;
@@ -24,13 +24,13 @@
         return applied;
     }
 
-    /** When an entry that is sent now arrives: not before those sent earlier. */
+    /** Returns the arrival time of an entry that is sent now; entries arrive in the order in which they were sent. */
     long scheduleArrival(long earliest) {
         lastArrivalAt = Math.max(lastArrivalAt, earliest);
         return lastArrivalAt;
     }
 
-    /** Takes an entry that has arrived; returns when the apply thread is done with it. */
+    /** Receives an entry; returns the time at which the apply thread has applied it. */
     long receive(long entry, long now, long applyWork) {
         received = entry + 1;
         lastApplyAt = Math.max(lastApplyAt, now) + applyWork;
@@ -41,29 +41,29 @@
         applied = Math.max(applied, entries);
     }
 
-    /** Receives without delay; what is received is still to be applied. */
+    /** Marks entries as received, without applying them. */
     void receiveUpTo(long entries) {
         received = entries;
     }
 
-    /** Receives and applies without delay. */
+    /** Marks entries as received and applied. */
     void catchUpTo(long entries) {
         received = entries;
         applied = entries;
     }
 
-    /** Entries below this count have left the beginning of the log. */
+    /** Advances past entries that were trimmed from the start of the log. */
     void skipTo(long entries) {
         received = Math.max(received, entries);
         applied = Math.max(applied, entries);
     }
 
-    /** Entries from this count on have left the end of the log. */
+    /** Limits the applied entries to those that remain after a rollback. */
     void rollBackTo(long entries) {
         applied = Math.min(applied, entries);
     }
 
-    void loseLeadership(long now) {
+    void recordLeadershipLoss(long now) {
         positionAtLeadershipLoss = now;
     }
 
@@ -71,13 +71,13 @@
         return positionAtLeadershipLoss;
     }
 
-    /** Reports the present, as only the leader does. */
+    /** Reports the current time as the position; only the leader does so. */
     long reportNow(long now) {
         reportedPosition = now;
         return reportedPosition;
     }
 
-    /** Reports a position, but nothing less than was reported before. */
+    /** Reports a position that never decreases: at least the one reported before. */
     long report(long position) {
         reportedPosition = Math.max(reportedPosition, position);
         return reportedPosition;
--- a/src/main/java/crankwick/model/Replication.java
+++ b/src/main/java/crankwick/model/Replication.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Semi-synchronous replication of the log: a write is answered once another member has received its entry.
- * Entries under way are lost with the epoch in which they were sent.
+ * Semi-synchronous replication of the log: a write is acknowledged once another member has received its entry.
+ * Entries in transit are lost when the leadership epoch changes.
  */
 final class Replication {
     private final ModelSettings settings;
@@ -18,7 +18,7 @@
     private final ReplicationLog log;
     private final MemberResponder responder;
     private final IdempotencyKeys keys;
-    /** Writes whose entry no other member has received yet, by the entry's index. */
+    /** Writes whose entry no other member has received yet, by log index. */
     private final Map<Long, List<StatementExecution>> unacknowledged = new HashMap<>();
 
     Replication(
@@ -37,27 +37,31 @@
         keys = new IdempotencyKeys(settings.keyTtlMicros());
     }
 
-    /** Commits a write at the leader, or finds the entry of its key, and answers it once that is replicated. */
+    /**
+     * Appends a write to the log, unless its idempotency key is already there, and acknowledges the write once the
+     * entry is replicated.
+     */
     void commit(Member leader, StatementExecution statement) {
-        String key = statement.query().idempotencyKey();
-        Long earlierCommit = keys.commitOf(key, context.now());
-        long index =
-                earlierCommit != null ? log.find(key, earlierCommit) : append(leader, new LogEntry(key, context.now()));
-        if (index == ReplicationLog.NO_ENTRY || isReceivedByAnother(leader, index)) {
+        String key = statement.request().idempotencyKey();
+        Long earlierCommitTime = keys.commitTime(key, context.now());
+        long index = earlierCommitTime != null
+                ? log.find(key, earlierCommitTime)
+                : append(leader, new LogEntry(key, context.now()));
+        if (index == ReplicationLog.NO_ENTRY || isReplicated(leader, index)) {
             responder.answer(leader, statement, AttemptResult.OK);
         } else {
             unacknowledged.computeIfAbsent(index, i -> new ArrayList<>()).add(statement);
         }
     }
 
-    private boolean isReceivedByAnother(Member leader, long index) {
+    private boolean isReplicated(Member leader, long index) {
         return members.stream()
                 .anyMatch(other -> other != leader && other.progress().received() > index);
     }
 
     private long append(Member leader, LogEntry entry) {
         long index = log.append(entry);
-        keys.remember(entry, context.now());
+        keys.add(entry, context.now());
         context.emit(new ModelEffect.WriteAppended(entry.idempotencyKey()));
         leader.progress().catchUpTo(index + 1);
         for (Member other : members) {
@@ -72,10 +76,10 @@
     private void send(Member replica, long index) {
         long earliest = context.now() + context.draw(settings.replicationDelay());
         context.schedule(
-                replica.progress().scheduleArrival(earliest), leadership.inThisEpoch(() -> receive(replica, index)));
+                replica.progress().scheduleArrival(earliest), leadership.guardedByEpoch(() -> receive(replica, index)));
     }
 
-    /** An entry reaches a replica, unless that has caught up meanwhile. */
+    /** Delivers an entry to a replica; ignored if the replica is not up or already has the entry. */
     private void receive(Member replica, long index) {
         if (!replica.isUp() || index < replica.progress().received()) {
             return;
@@ -95,8 +99,8 @@
         }
     }
 
-    /** Sends again what replicas have not received, on behalf of a leader that resumes. */
-    void sendAgain(Member leader) {
+    /** Sends replicas the entries that they have not received, after the leader has resumed its role. */
+    void resendUnreceived(Member leader) {
         for (Member other : members) {
             if (other != leader && other.isUp()) {
                 for (long index = other.progress().received(); index < log.end(); index++) {
@@ -106,8 +110,8 @@
         }
     }
 
-    /** Every member that is up receives the whole log from a leader that has drained; all writes are answered. */
-    void completeBeforeHandOver(Member leader) {
+    /** Replicates the complete log from a drained leader to all members that are up; acknowledges pending writes. */
+    void completeForHandover(Member leader) {
         for (Member member : members) {
             if (member.isUp()) {
                 member.progress().receiveUpTo(log.end());
@@ -120,15 +124,15 @@
         unacknowledged.clear();
     }
 
-    /** Rolls back entries that only a failed leader has, and lets the members that are up catch up. */
-    void rollBackUnreceived(Member failedLeader) {
+    /** Rolls back entries that only the failed leader has; members that are up receive all remaining entries. */
+    void rollBackUnreplicated(Member failedLeader) {
         long end = log.begin();
         for (Member member : members) {
             end = member != failedLeader ? Math.max(end, member.progress().received()) : end;
         }
         while (log.end() > end) {
             LogEntry lost = log.removeLast();
-            keys.forget(lost);
+            keys.remove(lost);
             context.emit(new ModelEffect.WriteRolledBack(lost.idempotencyKey()));
         }
         unacknowledged.clear();
--- a/src/main/java/crankwick/model/ReplicationLog.java
+++ b/src/main/java/crankwick/model/ReplicationLog.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The group's one log; an entry's index counts from the log's beginning, also after that was trimmed. */
+/** The group's replication log. Trimming does not change the index of an entry. */
 final class ReplicationLog {
-    /** The index that stands for no entry. */
+    /** Returned by {@link #find} if there is no matching entry. */
     static final long NO_ENTRY = -1;
-    /** Entries that are dropped at once, and kept at least. */
+    /** Number of entries removed by one trim, and minimum number retained. */
     private static final int TRIM_ENTRIES = 4_096;
 
     private final List<LogEntry> entries = new ArrayList<>();
@@ -19,12 +19,12 @@
         return end() - 1;
     }
 
-    /** How many entries there have been: the index of the next one. */
+    /** The index of the next entry to be appended. */
     long end() {
         return trimmedEntries + entries.size();
     }
 
-    /** The index of the first entry that is still kept. */
+    /** The index of the oldest retained entry. */
     long begin() {
         return trimmedEntries;
     }
@@ -33,7 +33,10 @@
         return entries.get((int) (index - trimmedEntries));
     }
 
-    /** The index of a key's entry of that commit; {@link #NO_ENTRY} if it is no longer kept. */
+    /**
+     * The index of the newest entry with this key that was committed at the given time or later; {@link #NO_ENTRY} if
+     * no such entry is retained.
+     */
     long find(String key, long committedAt) {
         for (int i = entries.size() - 1; i >= 0 && entries.get(i).committedAt() >= committedAt; i--) {
             if (entries.get(i).idempotencyKey().equals(key)) {
@@ -47,7 +50,7 @@
         return entries.remove(entries.size() - 1);
     }
 
-    /** Drops old entries once there are many; true if it did. */
+    /** Removes the oldest entries if at least 2 * TRIM_ENTRIES are retained; returns whether it removed any. */
     boolean trim() {
         if (entries.size() < 2 * TRIM_ENTRIES) {
             return false;
--- a/src/main/java/crankwick/model/StatementExecution.java
+++ b/src/main/java/crankwick/model/StatementExecution.java
@@ -1,27 +1,27 @@
 package crankwick.model;
 
-/** A statement at a member, until it is answered or its connection ends. */
+/** A statement at a member, and its execution state. */
 final class StatementExecution {
     private enum State {
         QUEUED,
         EXECUTING,
-        /** Nobody can receive the answer any more; work that has begun goes on. */
+        /** The connection has ended, so no response is sent; an execution that has started continues. */
         ABANDONED
     }
 
-    private final ModelEvent.StatementReceived query;
+    private final ModelEvent.StatementReceived request;
     private State state = State.QUEUED;
 
-    StatementExecution(ModelEvent.StatementReceived query) {
-        this.query = query;
+    StatementExecution(ModelEvent.StatementReceived request) {
+        this.request = request;
     }
 
-    ModelEvent.StatementReceived query() {
-        return query;
+    ModelEvent.StatementReceived request() {
+        return request;
     }
 
     boolean isWrite() {
-        return query.isWrite();
+        return request.isWrite();
     }
 
     void start() {
--- a/src/main/java/crankwick/model/StatementExecutor.java
+++ b/src/main/java/crankwick/model/StatementExecutor.java
@@ -4,9 +4,9 @@
 
 /** Queues statements at a member and executes them on its cores. */
 final class StatementExecutor {
-    /** How often a finished core looks whether its hung process goes on. */
+    /** How often a finished execution checks whether its hung process has resumed. */
     private static final long HUNG_RECHECK_MICROS = 200_000;
-    /** How often a waiting read looks whether its position is reached. */
+    /** How often a waiting read checks whether the member has reached its required position. */
     private static final long READ_RECHECK_MICROS = 1_000;
 
     private static final long MIN_WORK_MICROS = 100;
@@ -30,12 +30,12 @@
         this.replication = replication;
     }
 
-    /** Mean work of a statement on a warm core, in microseconds. */
-    long meanWork(ModelEvent.StatementReceived query) {
-        return query.isWrite() ? settings.meanWriteWorkMicros() : settings.meanReadWorkMicros();
+    /** Mean execution time of a statement at full capacity, in microseconds. */
+    long meanWork(ModelEvent.StatementReceived request) {
+        return request.isWrite() ? settings.meanWriteWorkMicros() : settings.meanReadWorkMicros();
     }
 
-    /** Rejects a statement, or queues it at a member that is up. */
+    /** Queues a statement. A draining member or a full queue rejects every statement; a replica rejects writes. */
     void submit(Member member, StatementExecution statement) {
         if (member.isDraining() || member.workload().queueLength() >= settings.maxQueuedStatements()) {
             responder.answer(member, statement, AttemptResult.REJECTED_OVERLOADED);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Starts queued statements on the free cores of a member, while it is up. */
+    /** Starts queued statements on the member's free cores if it is up. */
     void startQueued(Member member) {
         while (member.isUp()) {
             StatementExecution statement = member.workload().startNext();
@@ -59,14 +59,14 @@
     }
 
     private void execute(Member member, StatementExecution statement) {
-        long mean = meanWork(statement.query());
+        long mean = meanWork(statement.request());
         long work = (long)
-                (-mean * Math.log(1 - context.drawShare()) / member.warmUp().capacity(context.now()));
+                (-mean * Math.log(1 - context.drawUniform()) / member.warmUp().capacity(context.now()));
         long incarnation = member.startedAt();
         context.scheduleAfter(Math.max(MIN_WORK_MICROS, work), () -> onExecuted(member, statement, incarnation));
     }
 
-    /** A core is done with a statement; one that hung meanwhile is done when its process goes on. */
+    /** Completes an execution; if the process hangs, completion is deferred until the process resumes. */
     private void onExecuted(Member member, StatementExecution statement, long incarnation) {
         if (member.startedAt() != incarnation || member.refusesConnections()) {
             return;
@@ -85,7 +85,7 @@
     }
 
     private void completeRead(Member member, StatementExecution statement, long waitUntil) {
-        if (responder.position(member) >= statement.query().requiredPosition()) {
+        if (responder.position(member) >= statement.request().requiredPosition()) {
             responder.answer(member, statement, AttemptResult.OK);
         } else if (context.now() >= waitUntil || statement.isAbandoned()) {
             responder.answer(member, statement, AttemptResult.INELIGIBLE_REPLICA);
@@ -100,6 +100,6 @@
         } else if (leadership.isLeader(member)) {
             replication.commit(member, statement);
         }
-        // A deposed primary that does not know it gets no acknowledgement, so that it never answers.
+        // A deposed primary that still claims its role receives no replica acknowledgements, so it sends no response.
     }
 }
--- a/src/main/java/crankwick/model/WarmUp.java
+++ b/src/main/java/crankwick/model/WarmUp.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** A member's capacity after its start, and whether it is sent more than that capacity bears. */
+/** A member's capacity during warm-up, and detection of overload while the member is warming up. */
 final class WarmUp {
     private record ReceivedWork(long at, double work) {}
 
@@ -15,7 +15,7 @@
         this.settings = settings;
     }
 
-    /** When the member last started, in microseconds; far below 0 for long ago. */
+    /** When the member last started, in microseconds; a large negative value if it has not restarted. */
     long startedAt() {
         return startedAt;
     }
@@ -26,14 +26,14 @@
         workInWindow = 0;
     }
 
-    /** Share of the full capacity, up to 1. */
+    /** Current capacity as a fraction of the full capacity, up to 1. */
     double capacity(long now) {
-        double share = Math.min(1, Math.max(0, (now - startedAt) / (double) settings.warmUpMicros()));
-        return settings.initialCapacity() + (1 - settings.initialCapacity()) * share;
+        double progress = Math.min(1, Math.max(0, (now - startedAt) / (double) settings.warmUpMicros()));
+        return settings.initialCapacity() + (1 - settings.initialCapacity()) * progress;
     }
 
-    /** Counts work that a cold member is sent; true if that is more than it bears. */
-    boolean isOverloadedBy(double work, long now) {
+    /** Records work sent to a member that is warming up; true if the window's work exceeds the overload limit. */
+    boolean recordWorkAndCheckOverload(double work, long now) {
         if (capacity(now) >= 1) {
             return false;
         }
--- a/src/main/java/crankwick/model/package-info.java
+++ b/src/main/java/crankwick/model/package-info.java
@@ -1,4 +1,4 @@
 /**
- * One group of replicated databases as a state machine by seed, for experiments and emulation.
+ * A seeded, deterministic state machine of one group of replicated databases, for simulation and emulation.
  */
 package crankwick.model;
--- a/src/main/java/crankwick/settings/SettingsCodec.java
+++ b/src/main/java/crankwick/settings/SettingsCodec.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Maps the keys and words of the platform's settings to the routing module's terms; unknown keys are ignored. */
+/** Maps the keys and values of the platform's settings to the routing module's terms; ignores unknown keys. */
 public final class SettingsCodec {
     private static final Map<String, ConsistencyLevel> CONSISTENCY_LEVELS = Map.of(
             "write",
@@ -43,7 +43,7 @@
     private final long timeOriginMicros;
     private final List<String> reportFields;
 
-    /** Reads the settings; throws IllegalArgumentException naming the one at fault. */
+    /** Parses the settings; throws IllegalArgumentException with the path of the invalid setting. */
     public SettingsCodec(String json) {
         root = SettingsObject.parse(json);
         SettingsObject family = root.object("family-info");
@@ -75,17 +75,17 @@
         return routingSettings;
     }
 
-    /** The time from which positions are counted, in microseconds of Unix time. */
+    /** The Unix time that replication positions are relative to, in microseconds. */
     public long timeOrigin() {
         return timeOriginMicros;
     }
 
-    /** The names of a load report's fields, in the order of its figures. */
+    /** The field names of a load report, in the order of its values. */
     public List<String> reportFields() {
         return reportFields;
     }
 
-    /** The request classes' names, in order; only a real proxy needs them. */
+    /** The names of the request classes, by class index; used by the proxy process, not by the simulator. */
     public List<String> requestClassNames() {
         List<String> names = new ArrayList<>();
         for (JsonElement requestClass : root.array("classes")) {
@@ -95,12 +95,15 @@
         return names;
     }
 
-    /** The zones' names, in order; only a real proxy needs them. */
+    /** The names of the zones, by zone index; used by the proxy process, not by the simulator. */
     public List<String> zoneNames() {
         return texts(root.array("failure-domains"), "failure-domains");
     }
 
-    /** How long a connection may be idle before a database ends it, in microseconds; only a real proxy needs it. */
+    /**
+     * How long a connection may be idle before a database closes it, in microseconds; used by the proxy process, not
+     * by the simulator.
+     */
     public long connectionIdleTimeout() {
         return root.object("bounds").micros("conn-idle-ms");
     }
@@ -110,7 +113,7 @@
         JsonArray stalenessBounds = family.array("oldest-data-ms");
         JsonArray classes = root.array("classes");
         if (consistencyLevels.size() != classes.size() || stalenessBounds.size() != classes.size()) {
-            throw SettingsObject.unusable("family-info.freshness", null);
+            throw SettingsObject.invalidSetting("family-info.freshness", null);
         }
         List<RequestClass> requestClasses = new ArrayList<>();
         for (int i = 0; i < classes.size(); i++) {
--- a/src/main/java/crankwick/settings/SettingsObject.java
+++ b/src/main/java/crankwick/settings/SettingsObject.java
@@ -9,9 +9,12 @@
 import java.math.RoundingMode;
 import java.util.Map;
 
-/** A JSON object of the settings, read by type; each method throws IllegalArgumentException with the path at fault. */
+/**
+ * A JSON object in the settings, with typed access; the accessors throw IllegalArgumentException with the path of a
+ * missing or invalid setting.
+ */
 final class SettingsObject {
-    /** Decimal places between milliseconds and microseconds. */
+    /** Decimal places by which the point moves when milliseconds are converted to microseconds. */
     private static final int MILLIS_TO_MICROS_PLACES = 3;
 
     private final JsonObject json;
@@ -23,12 +26,12 @@
         this.pathPrefix = pathPrefix;
     }
 
-    /** Parses the whole settings. */
+    /** Parses the complete settings document. */
     static SettingsObject parse(String text) {
         try {
             return new SettingsObject(JsonParser.parseString(text).getAsJsonObject(), "");
         } catch (JsonParseException | IllegalStateException e) {
-            throw unusable("config is not a JSON object", e);
+            throw invalidSetting("config is not a JSON object", e);
         }
     }
 
@@ -40,10 +43,10 @@
         return object(json.get(key), pathPrefix + key);
     }
 
-    /** An object that is an element of an array. */
+    /** An array element as an object. */
     static SettingsObject object(JsonElement element, String path) {
         if (element == null || !element.isJsonObject()) {
-            throw unusable(path, null);
+            throw invalidSetting(path, null);
         }
         return new SettingsObject(element.getAsJsonObject(), path + ".");
     }
@@ -51,7 +54,7 @@
     JsonArray array(String key) {
         JsonElement element = value(key);
         if (!element.isJsonArray()) {
-            throw unusable(pathPrefix + key, null);
+            throw invalidSetting(pathPrefix + key, null);
         }
         return element.getAsJsonArray();
     }
@@ -59,15 +62,15 @@
     String text(String key) {
         JsonElement element = value(key);
         if (!element.isJsonPrimitive()) {
-            throw unusable(pathPrefix + key, null);
+            throw invalidSetting(pathPrefix + key, null);
         }
         return element.getAsString();
     }
 
-    /** A text that is an element of an array. */
+    /** The string value of an array element. */
     static String text(JsonElement element, String path) {
         if (!element.isJsonPrimitive()) {
-            throw unusable(path, null);
+            throw invalidSetting(path, null);
         }
         return element.getAsString();
     }
@@ -75,7 +78,7 @@
     boolean flag(String key) {
         JsonElement element = value(key);
         if (!element.isJsonPrimitive() || !element.getAsJsonPrimitive().isBoolean()) {
-            throw unusable(pathPrefix + key, null);
+            throw invalidSetting(pathPrefix + key, null);
         }
         return element.getAsBoolean();
     }
@@ -84,56 +87,56 @@
         try {
             return Double.parseDouble(text(key));
         } catch (NumberFormatException e) {
-            throw unusable(pathPrefix + key, e);
+            throw invalidSetting(pathPrefix + key, e);
         }
     }
 
-    /** A number without its fraction. */
+    /** A number, truncated to an integer. */
     int integer(String key) {
         return (int) number(key);
     }
 
-    /** Microseconds of a duration or time that is given in milliseconds. */
+    /** A duration or time in microseconds; the setting is in milliseconds. */
     long micros(String key) {
         try {
             return millisToMicros(text(key));
         } catch (NumberFormatException e) {
-            throw unusable(pathPrefix + key, e);
+            throw invalidSetting(pathPrefix + key, e);
         }
     }
 
-    /** As {@link #micros(String)}, of an element of an array. */
+    /** As {@link #micros(String)}, for an array element. */
     static long micros(JsonElement millis, String path) {
         try {
             return millisToMicros(text(millis, path));
         } catch (NumberFormatException e) {
-            throw unusable(path, e);
+            throw invalidSetting(path, e);
         }
     }
 
-    /** The constant that a word of the wire stands for. */
+    /** The constant for a string value of the settings. */
     <T> T choice(Map<String, T> constants, String key) {
         return choice(constants, value(key), pathPrefix + key);
     }
 
-    /** As {@link #choice(Map, String)}, of an element of an array. */
+    /** As {@link #choice(Map, String)}, for an array element. */
     static <T> T choice(Map<String, T> constants, JsonElement element, String path) {
         T constant = constants.get(text(element, path));
         if (constant == null) {
-            throw unusable(path, null);
+            throw invalidSetting(path, null);
         }
         return constant;
     }
 
-    /** The error for the setting at a path; the cause may be null. */
-    static IllegalArgumentException unusable(String path, Throwable cause) {
+    /** The exception for an invalid setting at a path; the cause may be null. */
+    static IllegalArgumentException invalidSetting(String path, Throwable cause) {
         return new IllegalArgumentException("unusable setting: " + path, cause);
     }
 
     private JsonElement value(String key) {
         JsonElement element = json.get(key);
         if (element == null || element.isJsonNull()) {
-            throw unusable(pathPrefix + key, null);
+            throw invalidSetting(pathPrefix + key, null);
         }
         return element;
     }
--- a/src/main/java/crankwick/settings/package-info.java
+++ b/src/main/java/crankwick/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's settings: the one place where the names of their keys are mapped to the routing module's terms. */
+/** Parsing of the platform's settings; only this package maps their keys to the routing module's terms. */
 package crankwick.settings;
--- a/src/main/java/crankwick/statement/Statement.java
+++ b/src/main/java/crankwick/statement/Statement.java
@@ -3,14 +3,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A statement with the hints of its leading comment, as every front carries them:
+ * An SQL statement and the hints from its leading comment, which has the same format in every client protocol:
  * {@code /* id=..,c=..,d=..,cluster=..[,k=..][,after=..] *}{@code / SELECT ..}.
  *
- * @param requestClassName the class's name
- * @param timeoutMillis how long the caller waits, in milliseconds
+ * @param requestClassName the name of the request class
+ * @param timeoutMillis the client's timeout, in milliseconds
  * @param idempotencyKey the idempotency key, or null
- * @param requiredPositionMillis the position to be seen, a Unix time in milliseconds, or -1
- * @param sessionId the first quoted literal, or null
+ * @param requiredPositionMillis the minimum replication position, a Unix time in milliseconds, or -1 if absent
+ * @param sessionId the first quoted literal after the hints, or null
+ * @param timeoutStart the index in {@code text} at which the timeout's digits start
+ * @param timeoutEnd the index in {@code text} after the timeout's digits
  */
 public record Statement(
         String requestId,
@@ -28,17 +30,17 @@
     private static final int SESSION_BITS = 53;
     private static final long SESSION_MASK = (1L << SESSION_BITS) - 1;
 
-    /** Reads a statement; throws IllegalArgumentException with the hint at fault. */
+    /** Parses a statement; throws IllegalArgumentException with the name of the missing or invalid hint. */
     public static Statement parse(String text) {
         return new StatementParser(text).parse();
     }
 
-    /** The statement with another timeout, as it is sent to a database. */
+    /** Returns the statement text to send to a database, with the client's timeout replaced by the attempt's. */
     public String withTimeout(long millis) {
         return text.substring(0, timeoutStart) + millis + text.substring(timeoutEnd);
     }
 
-    /** A hash of the session, by which the routing module identifies it; -1 for none. */
+    /** A hash of the session id, by which the routing module identifies the session; -1 if there is none. */
     public long sessionHash() {
         if (sessionId == null) {
             return -1;
--- a/src/main/java/crankwick/statement/StatementParser.java
+++ b/src/main/java/crankwick/statement/StatementParser.java
@@ -1,6 +1,6 @@
 package crankwick.statement;
 
-/** Reads the hints of one statement; the keys of the wire are mapped to standard terms here. */
+/** Parses the hints of one statement; maps their short names on the wire to the terms used in the code. */
 final class StatementParser {
     private static final String COMMENT_START = "/*";
     private static final String COMMENT_END = "*/";
@@ -22,7 +22,7 @@
         this.text = text;
     }
 
-    /** Reads the statement; throws IllegalArgumentException with the hint at fault. */
+    /** Parses the statement; throws IllegalArgumentException with the name of the missing or invalid hint. */
     Statement parse() {
         int open = text.indexOf(COMMENT_START);
         int close = text.indexOf(COMMENT_END, open + COMMENT_START.length());
@@ -96,9 +96,9 @@
         }
     }
 
-    private static void require(boolean condition, String fault) {
+    private static void require(boolean condition, String message) {
         if (!condition) {
-            throw new IllegalArgumentException(fault);
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/src/main/java/crankwick/statement/package-info.java
+++ b/src/main/java/crankwick/statement/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The hints that a statement carries in its leading comment.
+ * Parsing of SQL statements and the hints in their leading comments.
  */
 package crankwick.statement;
--- a/src/test/java/crankwick/model/GroupModelTest.java
+++ b/src/test/java/crankwick/model/GroupModelTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The behaviour of one modelled group over faults, replication and overload; times in microseconds. */
+/** Behaviour of one modelled group under faults, replication and overload; times in microseconds. */
 public class GroupModelTest {
     private static final long MILLIS = 1_000;
     private static final long START = 1_000_000_000;
@@ -22,7 +22,7 @@
     private long now;
 
     @BeforeMethod
-    public void createGroupLedByItsFirstMember() {
+    public void createGroupWithMember0AsLeader() {
         effects.clear();
         group = new GroupModel(ModelSettings.DEFAULT, 5, START);
         now = START;
@@ -41,7 +41,7 @@
         now = until;
     }
 
-    private ModelEffect.ResponseSent answer(long exchangeId) {
+    private ModelEffect.ResponseSent response(long exchangeId) {
         return effects.stream()
                 .filter(e -> e instanceof ModelEffect.ResponseSent a && a.exchangeId() == exchangeId)
                 .map(e -> (ModelEffect.ResponseSent) e)
@@ -54,13 +54,13 @@
     }
 
     @Test
-    public void keyIsAppliedOnceWithinItsTtlAndAgainAfterIt() {
+    public void keyIsAppendedOnceWithinItsTtlAndAgainAfterExpiry() {
         handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(100 * MILLIS);
         handle(new ModelEvent.StatementReceived(2, 0, "k", 0));
         advance(100 * MILLIS);
-        assertEquals(answer(1).result(), AttemptResult.OK);
-        assertEquals(answer(2).result(), AttemptResult.OK);
+        assertEquals(response(1).result(), AttemptResult.OK);
+        assertEquals(response(2).result(), AttemptResult.OK);
         assertEquals(countEffects(ModelEffect.WriteAppended.class), 1);
         advance(2_000 * MILLIS);
         handle(new ModelEvent.StatementReceived(3, 0, "k", 0));
@@ -75,7 +75,7 @@
         handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(200 * MILLIS);
         assertEquals(countEffects(ModelEffect.WriteAppended.class), 1);
-        assertEquals(answer(1), null, "no replica has received it");
+        assertEquals(response(1), null, "no replica has received the entry");
         handle(new ModelEvent.FaultInjected(Kind.RESTART, 1));
         handle(new ModelEvent.FaultInjected(Kind.CRASH, 0));
         advance(10_000 * MILLIS);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    public void hungPrimaryIsDeposedAndStillClaimsItsRoleWhenItResumes() {
+    public void hungPrimaryIsDeposedAndClaimsItsRoleAfterResumingUntilItIsDemoted() {
         handle(new ModelEvent.FaultInjected(Kind.HANG, 0));
         handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(2_800 * MILLIS);
@@ -93,24 +93,24 @@
         assertTrue(group.leader() > 0);
         handle(new ModelEvent.FaultInjected(Kind.RESTART, 0));
         handle(new ModelEvent.HealthCheckReceived(2, 0));
-        assertEquals(answer(2).role(), Role.PRIMARY);
-        assertTrue(answer(2).position() < START + 10 * MILLIS, "its position is that of the hang");
+        assertEquals(response(2).role(), Role.PRIMARY);
+        assertTrue(response(2).position() < START + 10 * MILLIS, "the position stays at the time of the hang");
         advance(1_100 * MILLIS);
         handle(new ModelEvent.HealthCheckReceived(3, 0));
-        assertEquals(answer(3).role(), Role.REPLICA);
-        assertEquals(answer(1).result(), AttemptResult.ERROR, "the write may have been executed");
+        assertEquals(response(3).role(), Role.REPLICA);
+        assertEquals(response(1).result(), AttemptResult.ERROR, "the write may have been executed");
         assertEquals(countEffects(ModelEffect.WriteAppended.class), 0);
     }
 
     @Test
-    public void hungPrimaryThatResumesBeforeItsFailureIsDetectedKeepsLeading() {
+    public void hungPrimaryThatResumesBeforeItsFailureIsDeclaredRemainsLeader() {
         handle(new ModelEvent.FaultInjected(Kind.HANG, 0));
         handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         advance(1_000 * MILLIS);
         handle(new ModelEvent.FaultInjected(Kind.RESTART, 0));
         advance(100 * MILLIS);
         assertEquals(group.leader(), 0);
-        assertEquals(answer(1).result(), AttemptResult.OK);
+        assertEquals(response(1).result(), AttemptResult.OK);
         advance(10_000 * MILLIS);
         assertEquals(group.leader(), 0);
     }
@@ -120,18 +120,18 @@
         handle(new ModelEvent.StatementReceived(1, 0, "k", 0));
         handle(new ModelEvent.FaultInjected(Kind.DRAIN, 0));
         handle(new ModelEvent.StatementReceived(2, 0, "l", 0));
-        assertEquals(answer(2).result(), AttemptResult.REJECTED_OVERLOADED);
+        assertEquals(response(2).result(), AttemptResult.REJECTED_OVERLOADED);
         advance(1_000 * MILLIS);
-        assertEquals(answer(1).result(), AttemptResult.OK);
+        assertEquals(response(1).result(), AttemptResult.OK);
         assertTrue(group.leader() > 0);
         handle(new ModelEvent.StatementReceived(3, group.leader(), "k", 0));
         advance(100 * MILLIS);
-        assertEquals(answer(3).result(), AttemptResult.OK);
+        assertEquals(response(3).result(), AttemptResult.OK);
         assertEquals(countEffects(ModelEffect.WriteAppended.class), 1, "the successor knows the key from the log");
     }
 
     @Test
-    public void coldMemberCollapsesUnderOverloadAndStaysDown() {
+    public void memberCollapsesWhenOverloadedDuringWarmUpAndStaysDown() {
         handle(new ModelEvent.FaultInjected(Kind.CRASH, 1));
         handle(new ModelEvent.FaultInjected(Kind.RESTART, 1));
         for (long exchangeId = 1;
@@ -147,13 +147,13 @@
     }
 
     @Test
-    public void readWaitsForItsPositionAndIsRejectedWhenThatIsFar() {
+    public void readWaitsForItsRequiredPositionAndIsRejectedAfterTheMaxWait() {
         advance(10 * MILLIS);
         handle(new ModelEvent.StatementReceived(1, 1, null, now));
         handle(new ModelEvent.StatementReceived(2, 2, null, now + 500 * MILLIS));
         advance(60 * MILLIS);
-        assertEquals(answer(1).result(), AttemptResult.OK);
-        assertTrue(answer(1).position() >= START + 10 * MILLIS);
-        assertEquals(answer(2).result(), AttemptResult.INELIGIBLE_REPLICA);
+        assertEquals(response(1).result(), AttemptResult.OK);
+        assertTrue(response(1).position() >= START + 10 * MILLIS);
+        assertEquals(response(2).result(), AttemptResult.INELIGIBLE_REPLICA);
     }
 }
--- a/src/test/java/crankwick/model/IdempotencyKeysTest.java
+++ b/src/test/java/crankwick/model/IdempotencyKeysTest.java
@@ -5,34 +5,34 @@
 
 import org.testng.annotations.Test;
 
-/** How long idempotency keys are remembered; times in microseconds. */
+/** Lookup and expiry of idempotency keys; times in microseconds. */
 public class IdempotencyKeysTest {
     private static final long TTL = 1_000;
 
     @Test
-    public void keyIsRememberedForItsTtl() {
+    public void keyIsFoundUntilItsTtlExpires() {
         IdempotencyKeys keys = new IdempotencyKeys(TTL);
-        keys.remember(new LogEntry("k", 10), 10);
-        assertEquals(keys.commitOf("k", 10 + TTL - 1), Long.valueOf(10));
-        assertNull(keys.commitOf("k", 10 + TTL));
-        assertNull(keys.commitOf("l", 10));
+        keys.add(new LogEntry("k", 10), 10);
+        assertEquals(keys.commitTime("k", 10 + TTL - 1), Long.valueOf(10));
+        assertNull(keys.commitTime("k", 10 + TTL));
+        assertNull(keys.commitTime("l", 10));
     }
 
     @Test
-    public void laterCommitOfTheSameKeyOutlivesTheEarlierOne() {
+    public void laterCommitOfTheSameKeyIsFoundAfterTheEarlierExpires() {
         IdempotencyKeys keys = new IdempotencyKeys(TTL);
-        keys.remember(new LogEntry("k", 0), 0);
-        keys.remember(new LogEntry("k", TTL), TTL);
-        keys.remember(new LogEntry("l", TTL + 1), TTL + 1);
-        assertEquals(keys.commitOf("k", TTL + 1), Long.valueOf(TTL));
+        keys.add(new LogEntry("k", 0), 0);
+        keys.add(new LogEntry("k", TTL), TTL);
+        keys.add(new LogEntry("l", TTL + 1), TTL + 1);
+        assertEquals(keys.commitTime("k", TTL + 1), Long.valueOf(TTL));
     }
 
     @Test
-    public void entryThatWasRolledBackIsForgotten() {
+    public void removedEntryIsNotFound() {
         IdempotencyKeys keys = new IdempotencyKeys(TTL);
         LogEntry entry = new LogEntry("k", 10);
-        keys.remember(entry, 10);
-        keys.forget(entry);
-        assertNull(keys.commitOf("k", 11));
+        keys.add(entry, 10);
+        keys.remove(entry);
+        assertNull(keys.commitTime("k", 11));
     }
 }
--- a/src/test/java/crankwick/model/ReplicationLogTest.java
+++ b/src/test/java/crankwick/model/ReplicationLogTest.java
@@ -6,10 +6,10 @@
 
 import org.testng.annotations.Test;
 
-/** Indexes of the replication log. */
+/** Entry indexes and lookup in the replication log. */
 public class ReplicationLogTest {
     @Test
-    public void indexesCountFromTheBeginningAlsoAfterTrimming() {
+    public void trimmingDoesNotChangeIndexes() {
         ReplicationLog log = new ReplicationLog();
         for (int i = 0; i < 8_191; i++) {
             assertEquals(log.append(new LogEntry("k" + i, i)), i);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void anEntryIsFoundByItsKeyAndCommitUntilItIsRemoved() {
+    public void entryIsFoundByKeyAndCommitTimeUntilItIsRemoved() {
         ReplicationLog log = new ReplicationLog();
         log.append(new LogEntry("k", 10));
         log.append(new LogEntry("l", 20));
