--- a/src/main/java/crankwick/routing/AttemptTracker.java
+++ b/src/main/java/crankwick/routing/AttemptTracker.java
@@ -4,13 +4,19 @@
 import crankwick.routing.api.RoutingActions;
 import java.util.SplittableRandom;
 
-/** Starts attempts, and looks after those that take long: checks their endpoints, or cancels them. */
+/**
+ * Starts attempts and monitors those that run long: health-checks their endpoints, or cancels them to be retried
+ * elsewhere.
+ */
 final class AttemptTracker {
-    /** An attempt that takes so many times its expected duration has its endpoint checked. */
+    /** The endpoint of an attempt is checked when the attempt takes this multiple of its expected duration. */
     private static final double LONG_RUNNING_FACTOR = 2.5;
-    /** Added to that factor for each e-fold that health checks cost more: long attempts are exponentially fewer. */
+    /**
+     * Added to {@link #LONG_RUNNING_FACTOR} for each e-fold of the cost of health checks: the number of attempts
+     * falls exponentially with their duration.
+     */
     private static final double LONG_RUNNING_COST_FACTOR = 2;
-    /** An attempt that takes so many times its expected duration at an idle endpoint counts as lost. */
+    /** An attempt at an idle endpoint counts as lost when it takes this multiple of its expected duration. */
     private static final double LOST_ATTEMPT_FACTOR = 5;
 
     private final HealthChecker checker;
@@ -56,8 +62,8 @@
                 : Long.MAX_VALUE;
     }
 
-    /** Looks after the group's attempts that are due for it. */
-    void checkLongRunning(EndpointGroup group, long now, RoutingActions actions) {
+    /** Checks the group's attempts whose next check is due. */
+    void checkLongRunningAttempts(EndpointGroup group, long now, RoutingActions actions) {
         for (PendingRequest request : group.inFlight().values()) {
             if (request.nextCheckAt() <= now && !request.isClosed()) {
                 request.scheduleCheck(now + HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS);
@@ -80,7 +86,10 @@
         }
     }
 
-    /** Whether the attempt takes far too long at an endpoint that responds and reports no load. */
+    /**
+     * Whether the attempt is overdue at an endpoint whose recent report shows no queue, with enough time left for
+     * a useful retry.
+     */
     private boolean isProbablyLost(PendingRequest request, long now) {
         EndpointState endpoint = request.endpoint();
         double expectedRatio = Math.max(latency.expectedRatio(endpoint, now), latency.roleRatio(endpoint.role(), now));
@@ -88,6 +97,6 @@
                 now - request.attemptSentAt() > LOST_ATTEMPT_FACTOR * latency.typicalDuration(request) * expectedRatio;
         return isOverdue
                 && now + latency.baselineDuration(request) < request.lastUsefulAt()
-                && endpoint.load().isIdle(LoadShedder.FULL_UTILIZATION, now);
+                && endpoint.load().isIdle(LoadShedder.SATURATED_UTILIZATION, now);
     }
 }
--- a/src/main/java/crankwick/routing/EndpointEligibility.java
+++ b/src/main/java/crankwick/routing/EndpointEligibility.java
@@ -21,14 +21,14 @@
         this.loadShedder = loadShedder;
     }
 
-    /** Whether the endpoint may be sent the request; an endpoint in slow start earns its credit up to now. */
+    /** Whether the endpoint may be sent the request. Also updates the credit of an endpoint in slow start. */
     boolean mayReceive(EndpointState endpoint, PendingRequest request, long now) {
         return endpoint.isAvailable()
                 && (!endpoint.outlier().isEjected() || mayReceiveTrial(endpoint, now))
                 && recency.hasRecentResponse(endpoint, now)
                 && retryPolicy.isSafeToExecuteAt(request, endpoint, now)
                 && hasCapacity(endpoint, request, now)
-                && loadShedder.canAnswerInTime(endpoint, request, now);
+                && loadShedder.canRespondInTime(endpoint, request, now);
     }
 
     private static boolean mayReceiveTrial(EndpointState endpoint, long now) {
--- a/src/main/java/crankwick/routing/EndpointGroup.java
+++ b/src/main/java/crankwick/routing/EndpointGroup.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A primary and its replicas, with the requests that are queued for them or in flight. */
+/** The endpoints of one group, with the requests that are queued for them or in flight. */
 final class EndpointGroup {
     private final long id;
     private final List<EndpointState> endpoints = new ArrayList<>();
@@ -18,8 +18,8 @@
     private final Map<Long, PendingRequest> inFlight = new LinkedHashMap<>();
     private long timerDueAt = Long.MAX_VALUE;
     private EndpointState primary;
-    /** The one write that may look for an unknown primary. */
-    private PendingRequest primarySeeker;
+    /** The write that attempts possible primaries while the primary is unknown, or null. */
+    private PendingRequest primaryProbe;
 
     EndpointGroup(long id, int requestClasses) {
         this.id = id;
@@ -49,7 +49,7 @@
         return sessionTokens;
     }
 
-    /** The requests with an attempt in flight, by identifier, in the order of their attempts. */
+    /** The requests with an attempt in flight, by identifier, in the order in which the attempts started. */
     Map<Long, PendingRequest> inFlight() {
         return inFlight;
     }
@@ -61,7 +61,7 @@
 
     void add(EndpointState endpoint) {
         endpoints.add(endpoint);
-        // No Comparator.comparing: its classes are spun at run time, which a start would pay for.
+        // Not Comparator.comparing: the JVM would generate its classes at run time, which slows the start.
         endpoints.sort((a, b) -> a.id().compareTo(b.id()));
     }
 
@@ -83,16 +83,16 @@
         return false;
     }
 
-    /** Whether the endpoint neither is the primary nor claims to be. */
+    /** Whether the endpoint is neither the primary nor claims to be. */
     boolean isReplica(EndpointState endpoint) {
         return endpoint != primary && endpoint.role() != Role.PRIMARY;
     }
 
     /**
-     * Records evidence of a role; the newest wins. A primary's position is the present, so a report's position
-     * dates a claim to be primary, and a later claim to be replica must lie past it.
+     * Records evidence of a role; the newest evidence prevails. A primary's position is the current time, so the
+     * position in a report dates a claim to be primary, and only a replica claim with a later position replaces it.
      *
-     * @return whether the primary has changed or been lost; false when the first one becomes known
+     * @return true if the primary changed or became unknown; false when a primary becomes known after none
      */
     boolean recordRole(EndpointState endpoint, Role role, long asOf) {
         if (!endpoint.updateRole(role, asOf)) {
@@ -112,20 +112,20 @@
         return newest;
     }
 
-    /** Whether the request may look for an unknown primary: no other one does. */
-    boolean maySeekPrimary(PendingRequest request) {
-        return primarySeeker == null || primarySeeker == request;
+    /** Whether the request may attempt possible primaries: no other request does. */
+    boolean mayProbeForPrimary(PendingRequest request) {
+        return primaryProbe == null || primaryProbe == request;
     }
 
-    void startSeekingPrimary(PendingRequest request) {
-        primarySeeker = request;
+    void startPrimaryProbe(PendingRequest request) {
+        primaryProbe = request;
     }
 
-    void stopSeekingPrimary(PendingRequest request) {
-        primarySeeker = primarySeeker == request ? null : primarySeeker;
+    void endPrimaryProbe(PendingRequest request) {
+        primaryProbe = primaryProbe == request ? null : primaryProbe;
     }
 
-    /** Whether a timer for {@code due} is needed: none is set, or the one set is later. */
+    /** Whether a timer for {@code due} is needed: no timer is set, or the one set is later. */
     boolean needsTimer(long due) {
         return due < timerDueAt;
     }
@@ -134,7 +134,7 @@
         timerDueAt = due;
     }
 
-    /** Clears the timer if it is due; an earlier timer that was replaced has no effect. */
+    /** Clears the timer if it is due; a timer that fires before the time set has no effect. */
     void clearDueTimer(long now) {
         timerDueAt = now >= timerDueAt ? Long.MAX_VALUE : timerDueAt;
     }
--- a/src/main/java/crankwick/routing/EndpointObserver.java
+++ b/src/main/java/crankwick/routing/EndpointObserver.java
@@ -16,29 +16,29 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Updates what is known of an endpoint from its listing, the outcomes of attempts and health checks. */
+/** Updates the state of an endpoint from its list entry, attempt outcomes and health checks. */
 final class EndpointObserver {
-    /** Results that only a running endpoint can give. */
-    private static final Set<AttemptResult> RESPONSES = EnumSet.of(
+    /** Results that prove that the endpoint process is running. */
+    private static final Set<AttemptResult> RESPONSE_RESULTS = EnumSet.of(
             AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED_OVERLOADED, AttemptResult.INELIGIBLE_REPLICA);
-    /** Results whose duration is that of a response, or a lower bound of it. */
-    private static final Set<AttemptResult> WITH_RESPONSE_TIME =
+    /** Results whose duration is the response time, or a lower bound of it. */
+    private static final Set<AttemptResult> RESULTS_WITH_DURATION =
             EnumSet.of(AttemptResult.OK, AttemptResult.TIMEOUT, AttemptResult.CANCELLED);
 
-    private static final Set<AttemptResult> FAILURES = EnumSet.of(
+    private static final Set<AttemptResult> FAILURE_RESULTS = EnumSet.of(
             AttemptResult.ERROR,
             AttemptResult.RESET,
             AttemptResult.REJECTED_OVERLOADED,
             AttemptResult.UNREACHABLE,
             AttemptResult.CONNECTION_LOST_BEFORE_SEND);
 
-    /** A response later than this fraction of the latency objective lowers the concurrency limit. */
+    /** A response that takes more than this fraction of the latency objective lowers the concurrency limit. */
     private static final double SLOW_RESPONSE_FRACTION = 0.45;
-    /** So does a replica that lags more than this. */
+    /** A replica whose reported lag exceeds this has its concurrency limit lowered. */
     private static final long HIGH_LAG_MICROS = 600 * MICROS_PER_MILLI;
-    /** The age assumed of the role in a response. */
+    /** The assumed age of the role in a response. */
     private static final long RESPONSE_ROLE_AGE_MICROS = 5 * MICROS_PER_MILLI;
-    /** The role in the endpoint list is a hint: anything that the endpoint itself has said is newer. */
+    /** The role in the endpoint list is a hint: any role that the endpoint itself reports counts as newer. */
     private static final long LISTED_ROLE_AS_OF = Long.MIN_VALUE + 1;
 
     private final RoutingSettings settings;
@@ -60,7 +60,7 @@
         this.random = random;
     }
 
-    /** Records the start of its process and the role that the endpoint list gives. */
+    /** Records the start time and the role in an entry of the endpoint list. */
     void recordListEntry(EndpointState endpoint, Endpoint entry, long now, RoutingActions actions) {
         if (entry.startedAt() > endpoint.slowStart().startedAt()) {
             recordRestart(endpoint, entry.startedAt(), "restarted", now, actions);
@@ -85,12 +85,12 @@
         recordReport(endpoint, check.report(), now, actions);
     }
 
-    /** Records the outcome of an attempt, whose endpoint it no longer occupies. */
+    /** Records the outcome of an attempt that is no longer in flight. */
     void recordOutcome(
             EndpointState endpoint, PendingRequest request, AttemptOutcome outcome, long now, RoutingActions actions) {
         AttemptResult result = outcome.result();
         boolean isCommit = request.isWrite() && result == AttemptResult.OK;
-        if (carriesOwnPosition(outcome, isCommit)) {
+        if (carriesEndpointPosition(outcome, isCommit)) {
             endpoint.position().advance(outcome.position(), now);
         }
         recordRole(endpoint, outcome.role(), now - RESPONSE_ROLE_AGE_MICROS, actions);
@@ -98,22 +98,25 @@
         if (isCommit) {
             freshness.recordCommit(request, outcome.position());
         }
-        if (WITH_RESPONSE_TIME.contains(result)) {
+        if (RESULTS_WITH_DURATION.contains(result)) {
             latency.recordAttempt(endpoint.role(), request, outcome.duration(), now);
         }
         if (result == AttemptResult.OK) {
             recordSuccess(endpoint, request, outcome.duration(), now, actions);
-        } else if (FAILURES.contains(result)) {
+        } else if (FAILURE_RESULTS.contains(result)) {
             logIfEjected(endpoint, endpoint.outlier().recordFailure(now, random), actions);
         }
-        recordCause(endpoint, outcome, now, actions);
-        if (RESPONSES.contains(result)) {
+        recordResultDetails(endpoint, outcome, now, actions);
+        if (RESPONSE_RESULTS.contains(result)) {
             recordResponse(endpoint, now, actions);
         }
     }
 
-    /** The position in the response to a write is that of the commit, which a replica may not have applied. */
-    private static boolean carriesOwnPosition(AttemptOutcome outcome, boolean isCommit) {
+    /**
+     * Whether the position in the outcome is the endpoint's own. In the response to a write it is the position of
+     * the commit, which a replica may not have applied.
+     */
+    private static boolean carriesEndpointPosition(AttemptOutcome outcome, boolean isCommit) {
         return outcome.position() != AbsentValue.NONE
                 && (outcome.role() == Role.PRIMARY || outcome.role() == Role.REPLICA && !isCommit);
     }
@@ -127,17 +130,17 @@
             endpoint.concurrency().increase();
         }
         if (endpoint.outlier().recordSuccess(request.attemptSentAt())) {
-            actions.log(endpoint.id() + " readmitted");
+            actions.log(endpoint.id() + " readmitted: attempt succeeded");
         }
     }
 
-    private void recordCause(EndpointState endpoint, AttemptOutcome outcome, long now, RoutingActions actions) {
+    private void recordResultDetails(EndpointState endpoint, AttemptOutcome outcome, long now, RoutingActions actions) {
         switch (outcome.result()) {
             case INELIGIBLE_REPLICA -> endpoint.position().recordIneligible(now);
             case REJECTED_OVERLOADED, TIMEOUT -> endpoint.concurrency().decrease();
             case UNREACHABLE -> recordUnreachable(endpoint, outcome.duration(), now, actions);
             default -> {
-                // The other results tell nothing beyond success or failure.
+                // The other results give no information beyond success or failure.
             }
         }
     }
@@ -164,23 +167,24 @@
         EndpointGroup group = endpoint.group();
         if (group.recordRole(endpoint, role, asOf)) {
             EndpointState primary = group.primary();
-            actions.log("group " + group.id() + " primary " + (primary == null ? "unknown" : primary.id()));
+            actions.log("group " + group.id() + " primary changed: " + (primary == null ? "unknown" : primary.id()));
         }
     }
 
     /**
-     * Records a response. An endpoint that refused connections and now responds has a new process, which the
-     * endpoint list may not show yet; if a connection limit was the cause, it gets a needless slow start.
+     * Records a response. An endpoint that responds after refusing connections is assumed to have restarted, which
+     * the endpoint list may not show yet. If it refused connections because of a connection limit, the slow start
+     * is unnecessary.
      */
     private void recordResponse(EndpointState endpoint, long now, RoutingActions actions) {
         if (endpoint.health().recordResponse(now)) {
-            recordRestart(endpoint, now, "responds again", now, actions);
+            recordRestart(endpoint, now, "responds after refusing connections", now, actions);
         }
     }
 
     private void recordRestart(EndpointState endpoint, long start, String event, long now, RoutingActions actions) {
         if (endpoint.slowStart().isActiveFor(start, now)) {
-            actions.log(endpoint.id() + " " + event + ", slow start");
+            actions.log(endpoint.id() + " " + event + ", starting slow start");
         }
         endpoint.latency().reset();
         endpoint.outlier().reset();
@@ -196,7 +200,7 @@
 
     private static void logIfEjected(EndpointState endpoint, boolean ejected, RoutingActions actions) {
         if (ejected) {
-            actions.log(endpoint.id() + " ejected: failure rate");
+            actions.log(endpoint.id() + " ejected: failure rate above 50%, only trials until one succeeds");
         }
     }
 }
--- a/src/main/java/crankwick/routing/EndpointSelector.java
+++ b/src/main/java/crankwick/routing/EndpointSelector.java
@@ -5,10 +5,13 @@
 import crankwick.routing.api.Role;
 import crankwick.routing.api.StaleReadPolicy;
 
-/** Selects the endpoint of an attempt: the primary for writes and strong reads, a replica for other reads. */
+/**
+ * Selects the endpoint of an attempt: the primary for writes and strong reads, otherwise a replica or, as a
+ * fallback, the primary.
+ */
 final class EndpointSelector {
-    /** An endpoint whose role is older than this may have become primary. */
-    private static final long ROLE_MEMORY_MICROS = 2 * MICROS_PER_SECOND;
+    /** An endpoint whose role was last reported longer ago than this may have become primary. */
+    private static final long ROLE_VALIDITY_MICROS = 2 * MICROS_PER_SECOND;
 
     private final StaleReadPolicy staleReadPolicy;
     private final EndpointEligibility eligibility;
@@ -29,7 +32,7 @@
         this.primaryFallback = primaryFallback;
     }
 
-    /** Selects the endpoint for the request's next attempt, or null if it has to wait. */
+    /** Selects the endpoint for the request's next attempt, or null if the request has to stay queued. */
     EndpointState select(PendingRequest request, long now) {
         return request.needsPrimary() ? selectPrimary(request, now) : selectForRead(request, now);
     }
@@ -51,21 +54,21 @@
                 : replica;
     }
 
-    /** Selects the primary; while it is unknown, one write at a time tries each other endpoint once. */
+    /** Selects the primary. While the primary is unknown, one write at a time attempts each possible primary once. */
     private EndpointState selectPrimary(PendingRequest request, long now) {
         EndpointGroup group = request.group();
         EndpointState primary = group.primary();
         if (primary != null) {
             return eligibility.mayReceive(primary, request, now) ? primary : null;
         }
-        return group.maySeekPrimary(request) && request.isWrite() ? seekPrimary(request, now) : null;
+        return group.mayProbeForPrimary(request) && request.isWrite() ? probeForPrimary(request, now) : null;
     }
 
-    private EndpointState seekPrimary(PendingRequest request, long now) {
+    private EndpointState probeForPrimary(PendingRequest request, long now) {
         for (EndpointState endpoint : request.group().endpoints()) {
-            boolean mayBePrimary = endpoint.role() == Role.UNKNOWN || now - endpoint.roleAsOf() > ROLE_MEMORY_MICROS;
+            boolean mayBePrimary = endpoint.role() == Role.UNKNOWN || now - endpoint.roleAsOf() > ROLE_VALIDITY_MICROS;
             if (mayBePrimary && eligibility.mayReceive(endpoint, request, now) && !request.hasAttempted(endpoint)) {
-                request.group().startSeekingPrimary(request);
+                request.group().startPrimaryProbe(request);
                 return endpoint;
             }
         }
--- a/src/main/java/crankwick/routing/HealthCheckBudget.java
+++ b/src/main/java/crankwick/routing/HealthCheckBudget.java
@@ -1,40 +1,40 @@
 package crankwick.routing;
 
-/** Health checks have a cost, so they are earned by requests; some may be saved up. */
+/** The budget for health checks, which have a cost: each request adds to the balance, each health check takes one. */
 final class HealthCheckBudget {
-    private static final double MAX_SAVED_CHECKS = 40;
+    private static final double MAX_CHECK_BALANCE = 40;
     private static final double MAX_CHECKS_PER_REQUEST = 1;
-    /** Points that may be spent on health checks for each request. */
-    private static final double POINTS_PER_REQUEST = 0.03;
-    /** The cost, in points per check, at which the intervals between health checks are as stated. */
+    /** The cost of health checks that each request pays for, in points. */
+    private static final double COST_PER_REQUEST = 0.03;
+    /** The cost of a health check, in points, up to which the intervals between health checks are not extended. */
     private static final double REFERENCE_COST = 0.02;
 
     private static final double MIN_COST = 1e-9;
 
     private final double checksPerRequest;
     private final double costFactor;
-    private double available = MAX_SAVED_CHECKS;
+    private double balance = MAX_CHECK_BALANCE;
 
-    /** Creates a full budget for health checks of the given cost in points. */
+    /** Creates a budget with the maximum balance, for health checks that cost {@code cost} points each. */
     HealthCheckBudget(double cost) {
-        checksPerRequest = Math.min(MAX_CHECKS_PER_REQUEST, POINTS_PER_REQUEST / Math.max(MIN_COST, cost));
+        checksPerRequest = Math.min(MAX_CHECKS_PER_REQUEST, COST_PER_REQUEST / Math.max(MIN_COST, cost));
         costFactor = Math.max(1, cost / REFERENCE_COST);
     }
 
-    /** How many times the reference cost a health check costs; 1 at least. */
+    /** The cost of a health check as a multiple of the reference cost; at least 1. */
     double costFactor() {
         return costFactor;
     }
 
-    void earnForRequest() {
-        available = Math.min(MAX_SAVED_CHECKS, available + checksPerRequest);
+    void depositForRequest() {
+        balance = Math.min(MAX_CHECK_BALANCE, balance + checksPerRequest);
     }
 
     boolean isExhausted() {
-        return available < 1;
+        return balance < 1;
     }
 
-    void spend() {
-        available--;
+    void withdraw() {
+        balance--;
     }
 }
--- a/src/main/java/crankwick/routing/HealthCheckScheduler.java
+++ b/src/main/java/crankwick/routing/HealthCheckScheduler.java
@@ -7,13 +7,14 @@
 import java.util.ArrayDeque;
 
 /**
- * Decides which endpoints are checked for the sake of queued requests: when none that could serve them has
- * responded recently, one replica at a time, or all endpoints that may be the primary.
+ * Selects the endpoints to health-check for queued requests. For a read that no replica can serve yet, one replica
+ * at a time is checked. For a request that needs the primary, the primary is checked if it has not responded
+ * recently, and every endpoint of the group if the primary is unknown or unhealthy.
  */
 final class HealthCheckScheduler {
-    /** Endpoints that are unresponsive or lag far behind are checked at this interval only. */
+    /** The minimum interval between checks of a replica that is unresponsive or lags far behind. */
     private static final long LONG_CHECK_INTERVAL_MICROS = 500 * MICROS_PER_MILLI;
-    /** A replica that may become fresh within this time does not lag far behind. */
+    /** A replica lags far behind if it cannot become fresh within this time. */
     private static final long CATCH_UP_HORIZON_MICROS = MICROS_PER_SECOND;
 
     private final HealthChecker checker;
@@ -41,7 +42,7 @@
         this.primaryFallback = primaryFallback;
     }
 
-    /** Checks endpoints for the group's queued requests. */
+    /** Starts the health checks that the group's queued requests need. */
     void checkForQueued(EndpointGroup group, long now, RoutingActions actions) {
         if (!checker.isEnabled()) {
             return;
@@ -59,12 +60,12 @@
 
     private void checkPrimary(EndpointGroup group, long now, RoutingActions actions) {
         EndpointState primary = group.primary();
-        boolean primaryInDoubt = primary == null
+        boolean primaryMayHaveChanged = primary == null
                 || !primary.isHealthy(now)
                 || primary.health().isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
         for (EndpointState endpoint : group.endpoints()) {
             boolean isStalePrimary = endpoint == primary && !recency.hasRecentResponse(endpoint, now);
-            if ((primaryInDoubt || isStalePrimary) && checker.mayCheck(endpoint, now)) {
+            if ((primaryMayHaveChanged || isStalePrimary) && checker.mayCheck(endpoint, now)) {
                 checker.check(endpoint, now, actions);
             }
         }
@@ -89,7 +90,7 @@
         }
     }
 
-    /** Whether a replica can serve the request soon, or is being checked for it. */
+    /** Whether some replica can serve the request, or has a health check in flight that has not timed out. */
     private boolean isReplicaExpectedToServe(PendingRequest request, long now) {
         for (EndpointState endpoint : request.group().endpoints()) {
             if (endpoint != request.group().primary()
@@ -105,7 +106,7 @@
         return endpoint.isHealthy(now)
                 && recency.hasRecentResponse(endpoint, now)
                 && freshness.isFresh(endpoint, request, now)
-                && loadShedder.canAnswerInTime(endpoint, request, now);
+                && loadShedder.canRespondInTime(endpoint, request, now);
     }
 
     private static boolean isBeingChecked(EndpointState endpoint, long now) {
@@ -113,14 +114,18 @@
         return health.isHealthCheckInFlight() && !health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
     }
 
-    /** Whether the result may release the request: the endpoint is neither unresponsive nor far behind. */
+    /**
+     * Whether the result may make the request servable. A replica that is unresponsive or lags far behind is
+     * checked at the long interval only.
+     */
     private boolean isUsefulToCheck(EndpointState endpoint, PendingRequest request, long now) {
         HealthStatus health = endpoint.health();
         boolean mayRelease = activity.reportsLoad()
                 || !recency.hasRecentResponse(endpoint, now)
                 || !freshness.isFresh(endpoint, request, now);
-        boolean isLongDue = now - health.lastHealthCheckAt() > checker.costAdjusted(LONG_CHECK_INTERVAL_MICROS);
-        if (!mayRelease || isLongDue) {
+        boolean longIntervalElapsed =
+                now - health.lastHealthCheckAt() > checker.scaleByCost(LONG_CHECK_INTERVAL_MICROS);
+        if (!mayRelease || longIntervalElapsed) {
             return mayRelease;
         }
         return !health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now)
--- a/src/main/java/crankwick/routing/HealthChecker.java
+++ b/src/main/java/crankwick/routing/HealthChecker.java
@@ -3,7 +3,7 @@
 import crankwick.routing.api.RoutingActions;
 import crankwick.routing.api.RoutingLimits;
 
-/** Starts health checks within their budget and not too often. */
+/** Starts health checks, limited by a budget and by a minimum interval per endpoint. */
 final class HealthChecker {
     private final RoutingLimits limits;
     private final HealthCheckBudget budget;
@@ -17,21 +17,22 @@
         return limits.healthChecksAllowed();
     }
 
+    /** Whether the endpoint is available, its last check is complete and old enough, and the budget allows another. */
     boolean mayCheck(EndpointState endpoint, long now) {
         HealthStatus health = endpoint.health();
         return endpoint.isAvailable()
                 && !health.isHealthCheckInFlight()
-                && now - health.lastHealthCheckAt() >= costAdjusted(HealthStatus.HEALTH_CHECK_INTERVAL_MICROS)
+                && now - health.lastHealthCheckAt() >= scaleByCost(HealthStatus.HEALTH_CHECK_INTERVAL_MICROS)
                 && !budget.isExhausted();
     }
 
-    /** The interval, made longer where health checks are expensive. */
-    double costAdjusted(long interval) {
+    /** Returns the interval multiplied by the cost factor of health checks. */
+    double scaleByCost(long interval) {
         return interval * budget.costFactor();
     }
 
     void check(EndpointState endpoint, long now, RoutingActions actions) {
-        budget.spend();
+        budget.withdraw();
         endpoint.health().startHealthCheck(now);
         actions.checkHealth(endpoint.id());
     }
--- a/src/main/java/crankwick/routing/LoadShedder.java
+++ b/src/main/java/crankwick/routing/LoadShedder.java
@@ -5,12 +5,15 @@
 import crankwick.routing.api.Role;
 import crankwick.routing.api.RoutingSettings;
 
-/** Load shedding: no endpoint gets a request that it can't be expected to answer in time. */
+/** Sheds load: an endpoint gets no request that it is not expected to answer in time. */
 final class LoadShedder {
-    /** From this utilization on, further work only queues. */
-    static final double FULL_UTILIZATION = 0.9;
+    /** Above this utilization, further requests only lengthen the queue. */
+    static final double SATURATED_UTILIZATION = 0.9;
 
-    /** Lag at which a busy replica gets no request of the most important class; others scale with weight. */
+    /**
+     * Lag above which a saturated replica gets no request of the class with the highest priority weight. The
+     * threshold of other classes is proportional to their weight.
+     */
     private static final long OVERLOADED_LAG_MICROS = 1_500 * MICROS_PER_MILLI;
 
     private final RoutingSettings settings;
@@ -23,8 +26,11 @@
         this.maxPriorityWeight = maxPriorityWeight;
     }
 
-    /** Whether the endpoint can be expected to answer in time; late requests need a short expected latency. */
-    boolean canAnswerInTime(EndpointState endpoint, PendingRequest request, long now) {
+    /**
+     * Whether the endpoint is expected to respond in time. A request with less than half of its latency
+     * objective left is allowed half of the objective.
+     */
+    boolean canRespondInTime(EndpointState endpoint, PendingRequest request, long now) {
         long objective = request.requestClass().latencyObjective();
         double completedAt = now + latency.expectedDuration(endpoint, request, now);
         double latest = Math.max(request.objectiveEndsAt(), now + objective / 2);
@@ -32,29 +38,33 @@
     }
 
     /**
-     * Whether a busy, lagging replica should be spared this request. In a large fleet the concurrency limits
-     * can't keep its replication from starving. It may hurt where the lag has another cause.
+     * Whether the endpoint is a saturated replica that lags too far for this request. In a large fleet the
+     * concurrency limits cannot keep reads from starving its replication. Drawback: if the lag has another cause,
+     * requests are shed without benefit.
      */
     private boolean isOverloaded(EndpointState endpoint, PendingRequest request, long now) {
         return isLargeFleet()
                 && endpoint.load().isRecent(now)
-                && endpoint.load().utilization() > FULL_UTILIZATION
+                && endpoint.load().utilization() > SATURATED_UTILIZATION
                 && endpoint.role() == Role.REPLICA
                 && endpoint.position().observedLag()
                         > OVERLOADED_LAG_MICROS * request.requestClass().priorityWeight() / maxPriorityWeight;
     }
 
-    /** Whether there are more proxies than an endpoint takes requests: limits of one each bind nobody. */
+    /**
+     * Whether there are more proxies than an endpoint's initial limit over all proxies. A concurrency limit of one
+     * request per proxy then does not prevent overload.
+     */
     boolean isLargeFleet() {
         return settings.proxyCount() > ConcurrencyLimit.INITIAL_FLEET_LIMIT;
     }
 
-    /** Whether the request, sent now, would be answered too late even by an idle endpoint. */
-    boolean isTooLate(PendingRequest request, long now) {
+    /** Whether the response to the request, sent now, would be useless even from an idle endpoint. */
+    boolean isTooLateToSend(PendingRequest request, long now) {
         return now + latency.baselineDuration(request) > request.lastUsefulAt();
     }
 
-    /** Whether the request, sent now, meets its latency objective at an idle endpoint. */
+    /** Whether the request, sent now to an idle endpoint, would meet its latency objective. */
     boolean canMeetObjective(PendingRequest request, long now) {
         return request.meetsObjectiveAt(now + latency.baselineDuration(request));
     }
--- a/src/main/java/crankwick/routing/OpenRequests.java
+++ b/src/main/java/crankwick/routing/OpenRequests.java
@@ -9,12 +9,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The requests that are not finished, and the answers of those that the router itself finishes. */
+/**
+ * The requests that have no final answer or still have an attempt in flight. Rejects or fails those that are not
+ * served.
+ */
 final class OpenRequests {
-    /** Retry-After of a proxy that knows no endpoint of the group: another proxy may know one. */
+    /** Retry-After if the group has no available endpoint; short, as another proxy may know one. */
     private static final long NO_ENDPOINT_RETRY_AFTER_MICROS = 80 * MICROS_PER_MILLI;
     /** Retry-After as a multiple of the latency objective. */
-    private static final long RETRY_AFTER_OBJECTIVES = 2;
+    private static final long RETRY_AFTER_OBJECTIVE_MULTIPLE = 2;
 
     private final Map<Long, PendingRequest> requests = new HashMap<>();
     private final RoutingLimits limits;
@@ -27,36 +30,36 @@
         this.random = random;
     }
 
-    /** The request with this identifier, or null. */
+    /** Returns the request with this identifier, or null. */
     PendingRequest find(long id) {
         return requests.get(id);
     }
 
-    /** Adds a request to its queue. */
+    /** Adds a new request and queues it. */
     void add(PendingRequest request) {
         requests.put(request.id(), request);
         enqueue(request);
     }
 
-    /** The newest first: under overload, serving the oldest first would make each late. */
+    /** Queues the newest request first: under overload, oldest first would make every response late. */
     private static void enqueue(PendingRequest request) {
         request.group().queue(request.classIndex()).addFirst(request);
     }
 
-    /** Queues the request again after an attempt without an answer, or finishes it if it may not be retried. */
+    /** Requeues the request after an attempt that did not answer it, or rejects or fails it if no retry is allowed. */
     void retryOrFinish(
             PendingRequest request, EndpointState attempted, AttemptResult result, long now, RoutingActions actions) {
-        request.addAttempted(attempted);
-        request.group().stopSeekingPrimary(request);
+        request.addAttemptedEndpoint(attempted);
+        request.group().endPrimaryProbe(request);
         if (retryPolicy.tryRetry(request, result, now)) {
             enqueue(request);
         } else {
-            finishUnserved(request, actions);
+            rejectOrFail(request, actions);
         }
     }
 
-    /** Rejects the request if a retry by the client is harmless, and fails it otherwise. */
-    void finishUnserved(PendingRequest request, RoutingActions actions) {
+    /** Rejects the request if the client can safely retry it, otherwise fails it. */
+    void rejectOrFail(PendingRequest request, RoutingActions actions) {
         if (retryPolicy.isSafeToReject(request)) {
             long retryAfter = Math.min(limits.maxRetryAfter(), Jitter.apply(retryAfter(request), random));
             actions.reject(request.id(), limits.retryAfterSupported() ? retryAfter : 0);
@@ -68,17 +71,20 @@
 
     private static long retryAfter(PendingRequest request) {
         return request.group().hasAvailableEndpoint()
-                ? request.requestClass().latencyObjective() * RETRY_AFTER_OBJECTIVES
+                ? request.requestClass().latencyObjective() * RETRY_AFTER_OBJECTIVE_MULTIPLE
                 : NO_ENDPOINT_RETRY_AFTER_MICROS;
     }
 
-    /** Closes an answered or abandoned request, which is kept only while an attempt is in flight; null is ignored. */
+    /**
+     * Closes an answered or abandoned request. It is removed at once unless an attempt is in flight; null is
+     * ignored.
+     */
     void close(PendingRequest request) {
         if (request == null) {
             return;
         }
         request.markClosed();
-        request.group().stopSeekingPrimary(request);
+        request.group().endPrimaryProbe(request);
         if (request.endpoint() == null) {
             requests.remove(request.id());
         }
--- a/src/main/java/crankwick/routing/PendingRequest.java
+++ b/src/main/java/crankwick/routing/PendingRequest.java
@@ -12,7 +12,7 @@
 
 /** A request that has no final answer yet, or whose attempt is still in flight. */
 final class PendingRequest {
-    /** Final answers are given so long before the client's deadline. */
+    /** Final answers are given this long before the client's deadline. */
     static final long RESPONSE_MARGIN_MICROS = 30 * MICROS_PER_MILLI;
 
     private final RoutingRequest request;
@@ -26,16 +26,16 @@
     private long attemptSentAt;
     private long nextCheckAt;
     private boolean closed;
-    /** Where an attempt may have been executed, and when it was sent. */
-    private EndpointState possiblyExecutedAt;
+    /** The endpoint that may have executed an attempt, or null, and the time when that attempt was sent. */
+    private EndpointState possibleExecutionEndpoint;
 
-    private long possiblyExecutedSince;
+    private long possibleExecutionSince;
 
     /**
      * Creates a request without attempts.
      *
-     * @param sessionToken the position that a session read must see; the smallest long for other requests
-     * @param firstSentAt when the client sent its first attempt, of which this may be a retry
+     * @param sessionToken the position that a session read must see; {@link Long#MIN_VALUE} for other requests
+     * @param firstSentAt when the client first sent the request; earlier than its arrival if this is a client retry
      */
     PendingRequest(
             RoutingRequest request,
@@ -91,22 +91,22 @@
         return attemptSentAt;
     }
 
-    /** When the attempt in flight is to be looked at, because it takes long. */
+    /** When the attempt in flight is next checked for running too long. */
     long nextCheckAt() {
         return nextCheckAt;
     }
 
-    /** Whether it needs no further answer: it has had one, or its client has disconnected. */
+    /** Whether the request needs no answer: it has been answered, or its client has abandoned it. */
     boolean isClosed() {
         return closed;
     }
 
-    EndpointState possiblyExecutedAt() {
-        return possiblyExecutedAt;
+    EndpointState possibleExecutionEndpoint() {
+        return possibleExecutionEndpoint;
     }
 
-    long possiblyExecutedSince() {
-        return possiblyExecutedSince;
+    long possibleExecutionSince() {
+        return possibleExecutionSince;
     }
 
     boolean isIdempotent() {
@@ -121,12 +121,12 @@
         return isWrite() || requestClass.consistency() == ConsistencyLevel.STRONG;
     }
 
-    /** When the class's latency objective ends, counted from the client's first attempt. */
+    /** When the latency objective ends, counted from the client's first attempt. */
     long objectiveEndsAt() {
         return firstSentAt + requestClass.latencyObjective();
     }
 
-    /** The last moment at which an answer has any value. */
+    /** The latest time at which an answer has any value. */
     long lastUsefulAt() {
         long last = expiresAt() - RESPONSE_MARGIN_MICROS;
         return requestClass.lateWeight() > 0 ? last : Math.min(last, objectiveEndsAt());
@@ -150,7 +150,7 @@
         group.inFlight().remove(id());
     }
 
-    /** Whether the outcome is that of the attempt in flight. */
+    /** Whether the outcome belongs to the attempt in flight. */
     boolean isCurrentAttempt(AttemptOutcome outcome) {
         return endpoint != null && endpoint.id().equals(outcome.endpointId()) && outcome.attempt() == attempts - 1;
     }
@@ -159,15 +159,15 @@
         nextCheckAt = checkAt;
     }
 
-    /** Notes that the last attempt may have been executed; the first such attempt counts. */
+    /** Records that the last attempt may have been executed; only the first such attempt is recorded. */
     void recordPossibleExecution(EndpointState target) {
-        if (possiblyExecutedAt == null) {
-            possiblyExecutedAt = target;
-            possiblyExecutedSince = attemptSentAt;
+        if (possibleExecutionEndpoint == null) {
+            possibleExecutionEndpoint = target;
+            possibleExecutionSince = attemptSentAt;
         }
     }
 
-    void addAttempted(EndpointState target) {
+    void addAttemptedEndpoint(EndpointState target) {
         attemptedEndpoints.add(target);
     }
 
--- a/src/main/java/crankwick/routing/PrimaryReadFallback.java
+++ b/src/main/java/crankwick/routing/PrimaryReadFallback.java
@@ -2,10 +2,10 @@
 
 import crankwick.routing.api.Role;
 
-/** Decides when reads that replicas normally serve may use the primary. */
+/** Decides when the primary may serve reads that replicas normally serve. */
 final class PrimaryReadFallback {
-    /** Below this utilization a primary has capacity for reads. */
-    private static final double SPARE_UTILIZATION = 0.8;
+    /** A primary has capacity for reads if its utilization is below this. */
+    private static final double MAX_IDLE_UTILIZATION = 0.8;
 
     private final ReplicaFreshness freshness;
     private final ResponseRecency recency;
@@ -27,14 +27,15 @@
     }
 
     boolean mayReadFromPrimary(PendingRequest request, long now) {
-        return isEveryReplicaLost(request.group(), now) || hasIdlePrimary(request, now);
+        return hasNoUsableReplica(request.group(), now) || hasIdlePrimary(request, now);
     }
 
     /**
-     * With every replica removed, ejected or unresponsive for long, reads may use the primary until a replica
-     * responds again. It may hurt where the primary has no capacity for them.
+     * Whether every replica is unavailable, ejected or unresponsive for longer than
+     * {@link HealthStatus#LOST_AFTER_MICROS}; reads then use the primary until a replica recovers. Drawback: the
+     * primary may not have the capacity for them.
      */
-    private static boolean isEveryReplicaLost(EndpointGroup group, long now) {
+    private static boolean hasNoUsableReplica(EndpointGroup group, long now) {
         for (EndpointState endpoint : group.endpoints()) {
             if (endpoint != group.primary()
                     && endpoint.isAvailable()
@@ -47,29 +48,32 @@
     }
 
     /**
-     * Where the fresh replicas only lack capacity, a read may use a primary that its own recent report shows
-     * idle, with no write in flight. It guards against few crowded replicas beside an idle primary; it may hurt
-     * when many proxies act on the same report. In a large fleet without load reports, the primaries must on
-     * the whole be as fast as idle ones.
+     * Whether the primary is idle, by its own recent report and with no write in flight, while the fresh replicas
+     * lack capacity. This keeps a few replicas from being overloaded next to an idle primary. Drawback: many proxies
+     * may act on the same report. In a large fleet without load reports, the latency of all primaries must be that
+     * of idle ones.
      */
     private boolean hasIdlePrimary(PendingRequest request, long now) {
         EndpointState primary = request.group().primary();
         return primary != null
-                && showsLoad(now)
-                && primary.load().isIdle(SPARE_UTILIZATION, now)
+                && canTrustIdleReport(now)
+                && primary.load().isIdle(MAX_IDLE_UTILIZATION, now)
                 && isLimitedByCapacity(request, now)
                 && request.group().inFlight().values().stream()
                         .filter(other -> other.endpoint() == primary)
                         .noneMatch(PendingRequest::needsPrimary);
     }
 
-    private boolean showsLoad(long now) {
+    private boolean canTrustIdleReport(long now) {
         return activity.reportsLoad()
                 || !loadShedder.isLargeFleet()
                 || latency.roleRatio(Role.PRIMARY, now) <= LatencyEstimates.BASELINE_LATENCY_RATIO;
     }
 
-    /** Whether every healthy replica has responded recently and one at least is fresh, so all lack capacity. */
+    /**
+     * Whether replicas lack only the capacity to serve the request: every healthy replica has responded recently
+     * and at least one is fresh.
+     */
     boolean isLimitedByCapacity(PendingRequest request, long now) {
         boolean hasFreshReplica = false;
         for (EndpointState endpoint : request.group().endpoints()) {
--- a/src/main/java/crankwick/routing/RequestDispatcher.java
+++ b/src/main/java/crankwick/routing/RequestDispatcher.java
@@ -6,10 +6,13 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Serves a group's queues: sends what can be sent, gives up what is too late, and sets the group's timer. */
+/**
+ * Dispatches a group's queued requests: sends those for which an endpoint is eligible, rejects or fails those that
+ * can no longer be answered in time, and sets the group's timer.
+ */
 final class RequestDispatcher {
     private static final long QUEUE_CHECK_INTERVAL_MICROS = HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS;
-    private static final long MIN_TIMER_MICROS = MICROS_PER_MILLI;
+    private static final long MIN_TIMER_DELAY_MICROS = MICROS_PER_MILLI;
 
     private final List<Integer> servingOrder;
     private final EndpointSelector selector;
@@ -33,16 +36,19 @@
         this.healthChecks = healthChecks;
     }
 
-    /** Takes every step that is due for the group, after any event that concerns it. */
+    /** Performs all work that is due for the group. Called after each event that concerns the group. */
     void dispatch(EndpointGroup group, long now, RoutingActions actions) {
-        attempts.checkLongRunning(group, now, actions);
+        attempts.checkLongRunningAttempts(group, now, actions);
         servingOrder.forEach(classIndex -> dispatchQueue(group, classIndex, true, now, actions));
         servingOrder.forEach(classIndex -> dispatchQueue(group, classIndex, false, now, actions));
         healthChecks.checkForQueued(group, now, actions);
         scheduleTimer(group, now, actions);
     }
 
-    /** Serves the requests of a class that can still meet their latency objective, or those that can't. */
+    /**
+     * Dispatches the queued requests of one class: those that can still meet their latency objective if
+     * {@code meetingObjective}, otherwise those that cannot.
+     */
     private void dispatchQueue(
             EndpointGroup group, int classIndex, boolean meetingObjective, long now, RoutingActions actions) {
         boolean blocked = false;
@@ -51,9 +57,9 @@
             PendingRequest request = queue.next();
             if (request.isClosed()) {
                 queue.remove();
-            } else if (loadShedder.isTooLate(request, now) || !group.hasAvailableEndpoint()) {
+            } else if (loadShedder.isTooLateToSend(request, now) || !group.hasAvailableEndpoint()) {
                 queue.remove();
-                openRequests.finishUnserved(request, actions);
+                openRequests.rejectOrFail(request, actions);
             } else if (!blocked && meetingObjective == loadShedder.canMeetObjective(request, now)) {
                 EndpointState endpoint = selector.select(request, now);
                 if (endpoint != null) {
@@ -65,14 +71,14 @@
         }
     }
 
-    /** Sets a timer for the next moment at which a step is due, unless an earlier one is set. */
+    /** Schedules a timer for the time when work is next due, unless an earlier timer is set. */
     private void scheduleTimer(EndpointGroup group, long now, RoutingActions actions) {
         long due = group.hasQueuedRequests() ? now + QUEUE_CHECK_INTERVAL_MICROS : Long.MAX_VALUE;
         for (PendingRequest request : group.inFlight().values()) {
             due = Math.min(due, request.nextCheckAt());
         }
         if (group.needsTimer(due)) {
-            long timerDue = Math.max(due, now + MIN_TIMER_MICROS);
+            long timerDue = Math.max(due, now + MIN_TIMER_DELAY_MICROS);
             group.setTimer(timerDue);
             actions.scheduleTimer(timerDue - now, Router.groupTimerId(group));
         }
--- a/src/main/java/crankwick/routing/Router.java
+++ b/src/main/java/crankwick/routing/Router.java
@@ -20,10 +20,10 @@
 /**
  * Decides, for one proxy, which endpoint of a group serves each request.
  *
- * <p>Each session read has to see the log position of its session's last write, and is served by a replica known
- * to have reached it; if none has, the read waits for health checks to show one, and is rejected with a
- * Retry-After when it gets too late. Writes and strong reads go to the primary. The router only orders the steps
- * of each event; the decisions are those of its parts. See docs/design.md.
+ * <p>A session read is served by a replica that is known to have reached the log position of its session's last
+ * write. If no replica has, the read is queued while health checks look for one, and is rejected with a Retry-After
+ * when it can no longer be answered in time. Writes and strong reads go to the primary. This class only sequences
+ * the handling of each event; its components make the decisions. See docs/design.md.
  */
 public final class Router {
     private final List<RequestClass> requestClasses;
@@ -39,7 +39,7 @@
     private final OpenRequests openRequests;
     private final RequestDispatcher dispatcher;
 
-    /** Creates a router; the same settings, seed and events give the same actions. */
+    /** Creates a router. It is deterministic: the same settings, seed and events give the same actions. */
     public Router(RoutingSettings settings, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         requestClasses = settings.requestClasses();
@@ -76,7 +76,7 @@
                 new HealthCheckScheduler(checker, activity, recency, freshness, loadShedder, selection, fallback));
     }
 
-    /** Takes one event at the caller's time and carries its decisions out on {@code actions}. */
+    /** Handles one event at time {@code now} and calls {@code actions} for each decision. */
     public void handle(long now, RoutingEvent event, RoutingActions actions) {
         recency.update(registry.endpoints().size(), activity, now);
         if (event instanceof RoutingRequest request) {
@@ -101,8 +101,8 @@
         EndpointGroup group = registry.groupOrEmpty(request.groupId());
         long sessionToken = freshness.sessionToken(request, requestClass, group, now);
         long firstSentAt = retryDetector.firstSentAt(request, requestClass, now);
-        retryPolicy.earnForRequest();
-        healthCheckBudget.earnForRequest();
+        retryPolicy.depositForRequest();
+        healthCheckBudget.depositForRequest();
         openRequests.add(new PendingRequest(request, requestClass, group, sessionToken, firstSentAt));
         dispatcher.dispatch(group, now, actions);
     }
@@ -163,12 +163,12 @@
         }
     }
 
-    /** The identifier of a group's timer; 0 is that of the discovery watch. */
+    /** The timer identifier of a group; 0 belongs to the discovery watch. */
     static long groupTimerId(EndpointGroup group) {
         return group.id() + 1;
     }
 
-    /** The number of endpoints and groups that are kept, listed or not. */
+    /** The number of endpoints and groups in memory, including unlisted ones. */
     int retainedStateCount() {
         return registry.size();
     }
--- a/src/test/java/crankwick/routing/EndpointGroupTest.java
+++ b/src/test/java/crankwick/routing/EndpointGroupTest.java
@@ -11,7 +11,7 @@
 import crankwick.routing.api.RoutingSettings;
 import org.junit.jupiter.api.Test;
 
-/** The primary of a group by the evidence of roles, and its timer. */
+/** Determining the primary of a group from role evidence, and the group timer. */
 class EndpointGroupTest {
     private final RoutingSettings settings = TestSettings.keyedWrite(0, 1_000_000, 250_000, true);
     private final EndpointGroup group = new EndpointGroup(1, 1);
@@ -26,12 +26,12 @@
     }
 
     @Test
-    void newestClaimToBePrimaryWins() {
-        assertFalse(group.recordRole(a, Role.PRIMARY, 10), "the first primary is no change");
+    void newestPrimaryClaimPrevails() {
+        assertFalse(group.recordRole(a, Role.PRIMARY, 10), "the first known primary is not a change");
         assertTrue(group.recordRole(b, Role.PRIMARY, 20));
         assertFalse(group.recordRole(a, Role.PRIMARY, 15));
         assertSame(b, group.primary());
-        assertFalse(group.isReplica(a), "it still claims to be primary");
+        assertFalse(group.isReplica(a), "a still claims to be primary");
     }
 
     @Test
@@ -39,12 +39,12 @@
         group.recordRole(a, Role.PRIMARY, 10);
         assertFalse(group.recordRole(a, Role.REPLICA, 9));
         assertSame(a, group.primary());
-        assertTrue(group.recordRole(a, Role.REPLICA, 11), "the primary is lost");
+        assertTrue(group.recordRole(a, Role.REPLICA, 11), "the primary is now unknown");
         assertNull(group.primary());
     }
 
     @Test
-    void onlyAnEarlierTimerReplacesTheOneThatIsSet() {
+    void onlyAnEarlierTimerReplacesAPendingTimer() {
         group.setTimer(100);
         assertFalse(group.needsTimer(100));
         assertTrue(group.needsTimer(99));
--- a/src/test/java/crankwick/routing/HealthCheckTest.java
+++ b/src/test/java/crankwick/routing/HealthCheckTest.java
@@ -20,16 +20,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When endpoints are health-checked for the sake of queued requests, and what that may cost. */
+/** Health checks for queued and long-running requests, and their budget. */
 class HealthCheckTest {
     @Test
-    void readAfterALongIdleTimeTriggersOneHealthCheck() {
+    void readAfterALongIdlePeriodTriggersOneHealthCheck() {
         RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.advance(10_000 * MICROS_PER_MILLI);
         harness.actions.clear();
         long read = harness.request(RouterTestHarness.BOUNDED_READ);
-        assertNull(harness.sentTo(read), "the last response is ten seconds old");
-        assertEquals(1, harness.pendingHealthCheckCount(), "one replica is checked, not all");
+        assertNull(harness.sentTo(read), "the last response of each replica is ten seconds old");
+        assertEquals(1, harness.pendingHealthCheckCount(), "one replica is checked, not both");
         harness.autoRespondToHealthChecks("r1", Role.REPLICA);
         harness.autoRespondToHealthChecks("r2", Role.REPLICA);
         harness.advance(10 * MICROS_PER_MILLI);
@@ -37,8 +37,8 @@
     }
 
     @Test
-    void rareResponsesDoNotRequireHealthChecks() {
-        // In large fleets, health checks before most reads exhausted their budget.
+    void infrequentResponsesDoNotRequireHealthChecks() {
+        // Guards against health checks before most reads in a large fleet, which exhaust the health check budget.
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.proxyCount = 300;
         RouterTestHarness harness = new RouterTestHarness(settings.build());
@@ -75,26 +75,26 @@
         harness.advance(20_000 * MICROS_PER_MILLI);
         harness.healthChecksSent = 0;
         assertNotNull(harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
-        assertEquals(0, harness.healthChecksSent, "none is earned");
+        assertEquals(0, harness.healthChecksSent, "the budget allows no health check");
     }
 
     @Test
-    void expensiveHealthChecksOfLongAttemptsComeLater() {
+    void expensiveHealthChecksOfLongAttemptsStartLater() {
         assertTrue(timeToFirstHealthCheck(0.08) > 1.5 * timeToFirstHealthCheck(0.02));
         assertTrue(
                 timeToFirstHealthCheck(0.08) < 1_000 * MICROS_PER_MILLI,
-                "an unresponsive endpoint is still found while another may serve");
+                "an unresponsive endpoint is detected while a retry can still be served");
     }
 
     @Test
-    void freshReplicaIsNotCheckedWhereReportsCarryNoLoad() {
-        assertEquals(0, healthChecksOfBusyReplicas(Double.NaN), "the result could not release the read");
-        assertTrue(healthChecksOfBusyReplicas(0) > 0, "the result could show an endpoint that has become idle");
+    void freshReplicaIsNotCheckedIfReportsCarryNoLoad() {
+        assertEquals(0, healthChecksOfBusyReplicas(Double.NaN), "a report without load cannot release the read");
+        assertTrue(healthChecksOfBusyReplicas(0) > 0, "a report with load can release the read");
     }
 
     @Test
-    void replicaOfUnknownPositionIsAttemptedOnlyIfItChecksItself() {
-        // Each of 100 proxies checked each of 48 replicas after its start: half of all health checks.
+    void replicaOfUnknownPositionIsAttemptedOnlyIfItDeclinesStaleReads() {
+        // Guards against each of 100 proxies checking each of 48 replicas after its start: half of all health checks.
         for (StaleReadPolicy policy : StaleReadPolicy.values()) {
             RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
             settings.staleReadPolicy = policy;
@@ -110,18 +110,18 @@
 
     @Test
     void writeIsNotSentToAnUnresponsivePrimary() {
-        // Non-idempotent writes stayed in hung primaries until their clients gave up.
+        // Guards against non-idempotent writes that stay in a hung primary until their clients time out.
         RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.advance(10_000 * MICROS_PER_MILLI);
         long write = harness.request(RouterTestHarness.WRITE);
         harness.autoRespondToHealthChecks("r2", Role.PRIMARY);
         harness.advance(100 * MICROS_PER_MILLI);
-        assertEquals("r2", harness.sentTo(write), "the successor claims the role, p does not respond");
+        assertEquals("r2", harness.sentTo(write), "p does not respond and r2 reports the role of primary");
     }
 
     @Test
-    void idleRouterSetsNoTimerAndChecksNothing() {
-        // Periodic health checks of an idle proxy are a cost without use.
+    void idleRouterSetsNoTimerAndStartsNoHealthCheck() {
+        // Guards against periodic health checks by an idle proxy, which have a cost and no use.
         RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.succeed(read);
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void healthChecksAreEarnedByRequests() {
+    void healthChecksAreLimitedByTheNumberOfRequests() {
         RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         harness.commitWrite(5, harness.now + 60_000 * MICROS_PER_MILLI);
         for (int i = 0; i < 100; i++) {
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Replicas respond so slowly that a read is queued; whether a health check helps depends on their reports. */
+    /** Counts the health checks for a read that is queued because both replicas respond slowly. */
     private static int healthChecksOfBusyReplicas(double load) {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.proxyCount = 300;
--- a/src/test/java/crankwick/routing/LoadSheddingTest.java
+++ b/src/test/java/crankwick/routing/LoadSheddingTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are queued at the concurrency limit, and which are rejected. */
+/** Queueing and rejection of requests at the concurrency limit. */
 class LoadSheddingTest {
 
     private static RouterTestHarness atConcurrencyLimit(List<Long> sent, List<Long> queued) {
@@ -26,8 +26,8 @@
     }
 
     @Test
-    void newestIsServedFirstAndOldestIsRejected() {
-        // Incident id1c5d3: served oldest first, each read was just too late.
+    void newestQueuedRequestIsServedFirstAndOldestIsRejected() {
+        // Incident id1c5d3: when the oldest request was served first, every read missed its latency objective.
         List<Long> sent = new ArrayList<>();
         List<Long> queued = new ArrayList<>();
         RouterTestHarness harness = atConcurrencyLimit(sent, queued);
@@ -40,11 +40,11 @@
     }
 
     @Test
-    void lateRequestIsRejectedLongBeforeTheClientDeadline() {
+    void requestPastItsObjectiveIsRejectedBeforeTheClientDeadline() {
         List<Long> queued = new ArrayList<>();
         RouterTestHarness harness = atConcurrencyLimit(new ArrayList<>(), queued);
         harness.advance(550 * MICROS_PER_MILLI);
-        assertTrue(harness.isRejected(queued.get(0)), "its latency objective has passed, its client waits until 2 s");
+        assertTrue(harness.isRejected(queued.get(0)), "its objective has passed, the client deadline is at 2 s");
         assertTrue(harness.actions.contains("retry-after " + queued.get(0) + " true"));
     }
 }
--- a/src/test/java/crankwick/routing/PrimaryTest.java
+++ b/src/test/java/crankwick/routing/PrimaryTest.java
@@ -16,11 +16,11 @@
 import crankwick.routing.api.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Finding the primary, and routing writes while it changes. */
+/** Detection of the primary, and routing of writes while the primary changes. */
 class PrimaryTest {
 
     @Test
-    void oneWriteAttemptsEachEndpointOnceForAnUnknownPrimary() {
+    void oneWriteAttemptsEachEndpointOnceWhileThePrimaryIsUnknown() {
         RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
         harness.addEndpoints("a", "b", "c");
         long write = harness.request(RouterTestHarness.WRITE);
@@ -30,7 +30,7 @@
             harness.endAttempt(write, AttemptResult.INELIGIBLE_REPLICA, Role.REPLICA, AbsentValue.NONE);
         }
         assertEquals(3, harness.attempts(write));
-        assertNull(harness.sentTo(second), "one write looks for the primary, the others are queued");
+        assertNull(harness.sentTo(second), "one write attempts possible primaries, the others are queued");
         assertFalse(harness.isRejected(write));
         harness.reportHealth("b", Role.PRIMARY, harness.now + MICROS_PER_MILLI);
         assertEquals("b", harness.sentTo(write));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void newestPrimaryClaimWinsOverAnOldReport() {
+    void newestPrimaryClaimPrevailsOverAnOlderReport() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long old = harness.now;
         harness.reportHealth("r1", Role.PRIMARY, harness.now + 400 * MICROS_PER_MILLI);
@@ -47,19 +47,19 @@
     }
 
     @Test
-    void writesAreQueuedWhileThePrimaryIsDownAndRejectedInTime() {
+    void writesAreQueuedWhileThePrimaryIsDownAndRejectedBeforeTheDeadline() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long write = harness.request(RouterTestHarness.WRITE);
         harness.endAttempt(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         harness.advance(1_500 * MICROS_PER_MILLI);
-        assertFalse(harness.isRejected(write), "still time for a new primary");
+        assertFalse(harness.isRejected(write), "a new primary may still appear before the deadline");
         harness.advance(500 * MICROS_PER_MILLI);
         assertTrue(harness.isRejected(write));
     }
 
     @Test
     void ejectedPrimaryIsReadmittedByATrial() {
-        // Incident if9b0f8: an ejected primary was never sent a request again.
+        // Incident if9b0f8: an ejected primary was never readmitted because it got no further requests.
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         for (int i = 0; i < 6; i++) {
@@ -68,17 +68,17 @@
                 harness.endAttempt(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(harness.actions.contains("log p ejected: failure rate"));
+        assertTrue(harness.actions.contains("log p ejected: failure rate above 50%, only trials until one succeeds"));
         long queued = harness.request(RouterTestHarness.WRITE);
         assertNull(harness.sentTo(queued));
         harness.autoRespondToHealthChecks("p", Role.PRIMARY);
         harness.advance(1_000 * MICROS_PER_MILLI);
         assertEquals("p", harness.sentTo(queued));
         harness.endAttempt(queued, AttemptResult.OK, Role.PRIMARY, harness.now);
-        assertTrue(harness.actions.contains("log p readmitted"));
+        assertTrue(harness.actions.contains("log p readmitted: attempt succeeded"));
     }
 
-    /** Otherwise an endpoint ejected before its restart that then became primary got only trials for seconds. */
+    /** Guards against an endpoint that restarts while ejected, becomes primary and gets only trials for seconds. */
     @Test
     void restartClearsAnEjection() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
@@ -88,14 +88,14 @@
                 harness.endAttempt(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(harness.actions.contains("log p ejected: failure rate"));
+        assertTrue(harness.actions.contains("log p ejected: failure rate above 50%, only trials until one succeeds"));
         harness.advance(MICROS_PER_MILLI);
         harness.updateEndpoint("p", EndpointStatus.LIVE, harness.now - 20_000 * MICROS_PER_MILLI);
         harness.reportHealth("p", Role.PRIMARY, harness.now);
         long write = harness.request(RouterTestHarness.WRITE);
         harness.advance(100 * MICROS_PER_MILLI);
         assertEquals("p", harness.sentTo(write));
-        assertFalse(harness.actions.contains("log p readmitted"), "no trial was needed");
+        assertFalse(harness.actions.contains("log p readmitted: attempt succeeded"), "no trial was needed");
     }
 
     @Test
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void readsMayUseThePrimaryOnlyWhenEveryReplicaIsLost() {
+    void readsMayUseThePrimaryOnlyWhenNoReplicaIsUsable() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r1", EndpointStatus.REMOVED, 0);
         assertEquals("r2", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void sameEventsGiveTheSameActions() {
+    void sameEventsProduceTheSameActions() {
         assertEquals(recordedActions(), recordedActions());
         assertNotNull(recordedActions());
     }
--- a/src/test/java/crankwick/routing/ReadPathTest.java
+++ b/src/test/java/crankwick/routing/ReadPathTest.java
@@ -16,7 +16,7 @@
 import crankwick.routing.api.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of read, each source of its session token, and the queue. */
+/** Routing of reads: consistency levels, sources of session tokens, and queueing. */
 class ReadPathTest {
 
     @Test
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void knownPositionNeverGoesBack() {
+    void knownPositionNeverDecreases() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void otherSessionsAreNotBoundByTheToken() {
+    void sessionTokenDoesNotApplyToOtherSessions() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now);
         assertNotEquals("p", harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 6, AbsentValue.NONE)));
     }
 
     @Test
-    void carriedTokenIsNowMinusItsAge() {
+    void carriedTokenIsRequestTimeMinusTokenAge() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.sessionTokensCarried = true;
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
@@ -72,11 +72,11 @@
     @Test
     void requiredPositionOfBoundedReadAdvancesWithTime() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
-        long level = harness.now;
-        harness.reportHealth("r1", Role.REPLICA, level);
-        harness.reportHealth("r2", Role.REPLICA, level);
-        harness.now = level + 1_500 * MICROS_PER_MILLI;
-        harness.reportHealth("r1", Role.REPLICA, level);
+        long reportedPosition = harness.now;
+        harness.reportHealth("r1", Role.REPLICA, reportedPosition);
+        harness.reportHealth("r2", Role.REPLICA, reportedPosition);
+        harness.now = reportedPosition + 1_500 * MICROS_PER_MILLI;
+        harness.reportHealth("r1", Role.REPLICA, reportedPosition);
         assertTrue(
                 harness.sentTo(harness.request(RouterTestHarness.BOUNDED_READ)).startsWith("r"));
         harness.now++;
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void positionInAResponseCountsLikeAReport() {
+    void positionInAResponseIsUsedLikeAReportedPosition() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.responsesCarryPosition = true;
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void oneHealthCheckServesAllQueuedReads() {
+    void queuedReadsShareOneHealthCheck() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now);
         for (int i = 0; i < 20; i++) {
@@ -155,12 +155,12 @@
         harness.actions.removeIf(a -> a.startsWith("check"));
         harness.advance(70 * MICROS_PER_MILLI);
         long checks = harness.actions.stream().filter(a -> a.equals("check r1")).count();
-        assertTrue(checks <= 1, "one health check in flight, however many reads are queued");
+        assertTrue(checks <= 1, "one health check is in flight, regardless of the number of queued reads");
     }
 
     @Test
-    void replicaFarBehindIsCheckedRarely() {
-        // Incident ia21758: with every replica seconds behind, frequent health checks cost a tenth of the service.
+    void replicaFarBehindIsCheckedAtTheLongInterval() {
+        // Incident ia21758: when every replica lagged by seconds, frequent health checks cost a tenth of the service.
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now + 5_000 * MICROS_PER_MILLI);
         harness.actions.clear();
@@ -178,11 +178,11 @@
                         new LoadReport(harness.now - 5_000 * MICROS_PER_MILLI, Role.REPLICA, 0, 0, 0)));
             }
         }
-        assertTrue(checks >= 1 && checks <= 3, "checks in 400 ms: " + checks);
+        assertTrue(checks >= 1 && checks <= 3, "health checks in 400 ms: " + checks);
     }
 
     @Test
-    void releasedReadsAreLimitedByConcurrency() {
+    void releasedReadsAreLimitedByTheConcurrencyLimit() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
@@ -196,7 +196,7 @@
         long after = harness.actions.stream()
                 .filter(a -> a.endsWith(" r1") && a.startsWith("send"))
                 .count();
-        assertTrue(after - before > 0 && after - before < 20, "released " + (after - before));
+        assertTrue(after - before > 0 && after - before < 20, "released reads: " + (after - before));
     }
 
     @Test
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void sessionsEvictedFromTheTokenStoreNeverReadStale() {
+    void readOfAnEvictedSessionIsNotServedStale() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long first = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(0, first);
@@ -233,6 +233,6 @@
         assertNull(harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 0, AbsentValue.NONE)));
         assertNull(
                 harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 99_999, AbsentValue.NONE)),
-                "unknown session");
+                "a session without a stored token may have been evicted");
     }
 }
--- a/src/test/java/crankwick/routing/RetryPolicyTest.java
+++ b/src/test/java/crankwick/routing/RetryPolicyTest.java
@@ -12,7 +12,7 @@
 import crankwick.routing.api.RoutingSettings;
 import org.junit.jupiter.api.Test;
 
-/** Which requests may be retried, and the retry budget. */
+/** Retry eligibility and the retry budget. */
 class RetryPolicyTest {
     private static final long NOW = 1_000_000_000L;
     private static final long KEY_TTL = 500_000;
@@ -29,11 +29,11 @@
     }
 
     @Test
-    void possiblyExecutedWriteIsRetriedOnlyWhileItsKeyIsKept() {
+    void possiblyExecutedWriteIsRetriedOnlyWithinItsKeyTtl() {
         PendingRequest write = request();
         write.startAttempt(endpoint, Long.MAX_VALUE, NOW);
         write.recordPossibleExecution(endpoint);
-        assertFalse(policy.isSafeToReject(write), "its key is deduplicated within the group only");
+        assertFalse(policy.isSafeToReject(write), "the idempotency key is deduplicated within the group only");
         assertTrue(policy.isSafeToExecuteAt(write, endpoint, NOW + KEY_TTL - 1));
         assertFalse(policy.isSafeToExecuteAt(write, endpoint, NOW + KEY_TTL));
     }
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void retriesAreEarnedByRequestsButFreeWhereNothingFailed() {
+    void retriesUseTheBudgetUnlessTheResultIsExempt() {
         int retries = 0;
         while (policy.tryRetry(request(), AttemptResult.ERROR, NOW)) {
             retries++;
@@ -58,13 +58,13 @@
         assertTrue(policy.tryRetry(request(), AttemptResult.INELIGIBLE_REPLICA, NOW));
         for (int i = 0; i < 4; i++) {
             assertFalse(policy.tryRetry(request(), AttemptResult.ERROR, NOW));
-            policy.earnForRequest();
+            policy.depositForRequest();
         }
         assertTrue(policy.tryRetry(request(), AttemptResult.ERROR, NOW));
     }
 
     @Test
-    void noRetryBeginsShortlyBeforeTheDeadline() {
+    void noRetryStartsWithinTheResponseMarginBeforeTheDeadline() {
         assertFalse(policy.tryRetry(request(), AttemptResult.ERROR, NOW + 2_970_000));
         assertTrue(policy.tryRetry(request(), AttemptResult.ERROR, NOW + 2_969_999));
     }
--- a/src/test/java/crankwick/routing/RouterExampleTest.java
+++ b/src/test/java/crankwick/routing/RouterExampleTest.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An example of how a proxy embeds the router. */
+/** Shows how a proxy embeds the router. */
 class RouterExampleTest {
     @Test
     void requestIsSentToTheOnlyEndpoint() {
--- a/src/test/java/crankwick/routing/RouterTestHarness.java
+++ b/src/test/java/crankwick/routing/RouterTestHarness.java
@@ -31,7 +31,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Feeds events to a router in simulated time and records its actions, one string each. */
+/** Drives a router in simulated time and records each of its actions as a string. */
 final class RouterTestHarness implements RoutingActions {
     static final long START = 1_000_000_000L;
     /** Indices of the request classes of {@link SettingsBuilder}. */
@@ -52,7 +52,7 @@
     final List<Endpoint> endpointList = new ArrayList<>();
     final Router router;
     long now = START;
-    /** The number of health checks so far. */
+    /** The number of health checks that the router has started. */
     int healthChecksSent;
 
     private final List<Timer> timers = new ArrayList<>();
@@ -69,17 +69,17 @@
         router = new Router(settings, seed);
     }
 
-    /** A harness with the default settings and an empty endpoint list. */
+    /** Creates a harness with the default settings and an empty endpoint list. */
     static RouterTestHarness withoutEndpoints() {
         return new RouterTestHarness(new SettingsBuilder().build());
     }
 
-    /** A harness with the default settings; see {@link #withHealthyGroup(RoutingSettings)}. */
+    /** Creates a harness with the default settings; see {@link #withHealthyGroup(RoutingSettings)}. */
     static RouterTestHarness withHealthyGroup() {
         return withHealthyGroup(new SettingsBuilder().build());
     }
 
-    /** A harness with primary p and replicas r1, r2 in group 1, all known to be level with the present. */
+    /** Creates a harness with primary p and replicas r1 and r2 in group 1, all of which have just reported no lag. */
     static RouterTestHarness withHealthyGroup(RoutingSettings settings) {
         RouterTestHarness harness = new RouterTestHarness(settings);
         harness.addEndpoints("p", "r1", "r2");
@@ -89,14 +89,14 @@
         return harness;
     }
 
-    /** A harness with the default settings but for the number of proxies. */
+    /** Creates a harness with a healthy group and the default settings except for the number of proxies. */
     static RouterTestHarness withProxyCount(int proxyCount) {
         SettingsBuilder settings = new SettingsBuilder();
         settings.proxyCount = proxyCount;
         return withHealthyGroup(settings.build());
     }
 
-    /** Adds endpoints to the endpoint list and has it delivered in full. */
+    /** Adds live endpoints to the endpoint list and delivers the complete list. */
     void addEndpoints(String... ids) {
         for (String id : ids) {
             endpointList.add(endpoint(id, EndpointStatus.LIVE, 0));
@@ -108,12 +108,12 @@
         return new Endpoint(id, 0, GROUP, Role.UNKNOWN, status, startedAt);
     }
 
-    /** Delivers a change of one endpoint. */
+    /** Delivers an incremental update of one endpoint. */
     void updateEndpoint(String id, EndpointStatus status, long startedAt) {
         handle(new EndpointUpdate(EndpointUpdateKind.INCREMENTAL, List.of(endpoint(id, status, startedAt))));
     }
 
-    /** Delivers the report of an idle endpoint as the result of a health check. */
+    /** Delivers a successful health check whose report shows an idle endpoint. */
     void reportHealth(String id, Role role, long position) {
         reportHealth(id, role, position, 0, 0);
     }
@@ -124,7 +124,7 @@
         handle(new HealthCheckResult(id, AttemptResult.OK, 2 * MICROS_PER_MILLI, report));
     }
 
-    /** From now on this endpoint passes each health check at the next step, level with the present. */
+    /** Makes the endpoint pass each health check at the next clock step and report no lag. */
     void autoRespondToHealthChecks(String id, Role role) {
         autoResponders.put(id, role);
     }
@@ -145,7 +145,7 @@
         return actions.stream().filter(a -> a.startsWith("check ")).count();
     }
 
-    /** Moves the clock on in small steps and fires the timers that are due. */
+    /** Advances the clock in small steps, fires due timers and delivers automatic health check responses. */
     void advance(long span) {
         long until = now + span;
         while (now < until) {
@@ -184,7 +184,7 @@
         return id;
     }
 
-    /** The endpoint of the request's newest attempt, or null. */
+    /** Returns the endpoint of the request's last attempt, or null if it was not sent. */
     String sentTo(long id) {
         String endpoint = null;
         for (String action : actions) {
@@ -212,7 +212,7 @@
         return actions.contains("cancel " + id);
     }
 
-    /** Ends the request's newest attempt. */
+    /** Delivers the outcome of the request's last attempt. */
     void endAttempt(long id, AttemptResult result, Role role, long position) {
         handle(new AttemptOutcome(
                 id,
@@ -230,7 +230,7 @@
         endAttempt(id, AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
     }
 
-    /** Executes a write of the session that commits at the position. */
+    /** Sends a write of the session and completes it with a commit at the position. */
     void commitWrite(long session, long position) {
         long id = request(WRITE, session, AbsentValue.NONE);
         endAttempt(id, AttemptResult.OK, Role.PRIMARY, position);
@@ -284,7 +284,7 @@
         actions.add("log " + line);
     }
 
-    /** Settings for tests, to be varied one value at a time. */
+    /** Builds routing settings from defaults; tests overwrite single fields. */
     static final class SettingsBuilder {
         boolean responsesCarryPosition;
         boolean sessionTokensCarried;
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -31,9 +31,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The rules that hold in every run, one by one. */
+/** Routing invariants: retries, cancellation, endpoint eligibility and slow start. */
 class RoutingRulesTest {
-    /** Guards against memory that grows with every endpoint ever listed and every group ever requested. */
+    /** Guards against a memory leak: state kept for every endpoint ever listed and every group ever requested. */
     @Test
     void expiredEndpointsAndUnknownGroupsAreNotRetained() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
@@ -64,11 +64,11 @@
     }
 
     @Test
-    void possiblyExecutedWriteWithKeyIsNeverRejectedUnderNarrowScope() {
+    void possiblyExecutedWriteWithKeyIsNotRejectedUnderGroupScope() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long write = harness.request(RouterTestHarness.WRITE_WITH_KEY);
         harness.endAttempt(write, AttemptResult.RESET, Role.UNKNOWN, AbsentValue.NONE);
-        assertEquals(2, harness.attempts(write), "its retry is deduplicated within the group");
+        assertEquals(2, harness.attempts(write), "the retry is deduplicated within the group");
         harness.endAttempt(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         harness.advance(3_000 * MICROS_PER_MILLI);
         assertTrue(harness.isFailed(write));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void everyRequestIsRejectedWithoutEndpoints() {
+    void requestsOfEveryClassAreRejectedWithoutEndpoints() {
         RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
         for (int classIndex = RouterTestHarness.BOUNDED_READ;
                 classIndex <= RouterTestHarness.WRITE_WITH_KEY;
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void timeoutAtTheDeadlineIsAnsweredImmediately() {
+    void timeoutAtTheDeadlineRejectsTheRequestImmediately() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.now += 2_000 * MICROS_PER_MILLI;
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void unlistedEndpointIsUsableUnlessItWasDraining() {
+    void unlistedEndpointIsUsableUnlessDraining() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.unlistedEndpointsUsable = true;
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void burstIsLimitedToTheSlowStartBudget() {
+    void burstToAnEndpointInSlowStartIsLimitedByItsBudget() {
         RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
         harness.endpointList.add(
                 RouterTestHarness.endpoint("r1", EndpointStatus.LIVE, harness.now - 100 * MICROS_PER_MILLI));
@@ -169,17 +169,17 @@
             }
             harness.now += 10 * MICROS_PER_MILLI;
         }
-        assertTrue(sent >= 1 && sent <= 3, "sent " + sent + " within a second");
+        assertTrue(sent >= 1 && sent <= 3, "requests sent within a second: " + sent);
     }
 
     @Test
-    void responseAfterAConnectionFailureBeginsSlowStart() {
+    void responseAfterARefusedConnectionStartsSlowStart() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.endAttempt(read, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         harness.reportHealth("r1", Role.REPLICA, harness.now);
-        assertTrue(harness.actions.contains("log r1 responds again, slow start"));
+        assertTrue(harness.actions.contains("log r1 responds after refusing connections, starting slow start"));
     }
 
     @Test
@@ -189,7 +189,7 @@
         String first = harness.sentTo(read);
         harness.advance(700 * MICROS_PER_MILLI);
         assertTrue(harness.isCancelled(read));
-        assertEquals(1, harness.attempts(read), "never two at once");
+        assertEquals(1, harness.attempts(read), "no retry before the cancelled attempt has ended");
         harness.endAttempt(read, AttemptResult.CANCELLED, Role.UNKNOWN, AbsentValue.NONE);
         assertNotNull(first);
     }
@@ -216,17 +216,17 @@
     }
 
     @Test
-    void sessionReadAvoidsAFormerPrimaryBehindItsToken() {
+    void sessionReadIsNotSentToAFormerPrimaryBehindItsToken() {
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now + 5 * MICROS_PER_MILLI);
         harness.reportHealth("r1", Role.PRIMARY, harness.now + 100 * MICROS_PER_MILLI);
         long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
-        assertNull(harness.sentTo(read), "p's position is behind the token and r1 is the primary");
+        assertNull(harness.sentTo(read), "p's position is behind the session token and r1 is the primary");
     }
 
     @Test
-    void slowResponsesSpaceTheAttemptsOfManyProxies() {
-        // Incident i9c74e4: a dozen proxies with one request each at every endpoint already built up a queue.
+    void slowResponsesLimitTheAttemptRateWithManyProxies() {
+        // Incident i9c74e4: with a dozen proxies, one request of each in flight per endpoint already built up queues.
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.proxyCount = 12;
         settings.healthChecksAllowed = false;
@@ -252,12 +252,12 @@
         assertEquals("r1", harness.sentTo(first));
         harness.succeed(first);
         long second = harness.request(RouterTestHarness.EVENTUAL_READ);
-        assertNull(harness.sentTo(second), "nothing is in flight, but the next attempt is spaced");
+        assertNull(harness.sentTo(second), "no attempt is in flight, but the next one is not due yet");
     }
 
     @Test
     void longRequestIsNotCancelledWhileHealthChecksPass() {
-        // Incident i6aa7ab: with few requests at each endpoint, one long request ejected a healthy one.
+        // Incident i6aa7ab: with few requests per endpoint, one long request caused a healthy endpoint to be ejected.
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 24; i++) {
@@ -274,7 +274,7 @@
 
     @Test
     void responsesToEarlierAttemptsDoNotReadmitAnOutlier() {
-        // Incident h25ee0b: responses to old attempts readmitted an outlier many times a second.
+        // Incident h25ee0b: responses to attempts sent before the ejection readmitted an outlier many times a second.
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
         long earlier = harness.request(RouterTestHarness.EVENTUAL_READ);
@@ -285,9 +285,9 @@
                 harness.endAttempt(id, AttemptResult.ERROR, Role.REPLICA, AbsentValue.NONE);
             }
         }
-        assertTrue(harness.actions.contains("log r1 ejected: failure rate"));
+        assertTrue(harness.actions.contains("log r1 ejected: failure rate above 50%, only trials until one succeeds"));
         harness.succeed(earlier);
-        assertFalse(harness.actions.contains("log r1 readmitted"));
+        assertFalse(harness.actions.contains("log r1 readmitted: attempt succeeded"));
         harness.advance(600 * MICROS_PER_MILLI);
         long trial = harness.request(RouterTestHarness.EVENTUAL_READ);
         assertTrue(harness.actions.stream().anyMatch(a -> a.endsWith(" r1") && a.startsWith("send")));
--- a/src/test/java/crankwick/routing/TestSettings.java
+++ b/src/test/java/crankwick/routing/TestSettings.java
@@ -12,7 +12,7 @@
 import crankwick.routing.api.StaleReadPolicy;
 import java.util.List;
 
-/** Settings that tests of the broker share: one class, a write with an idempotency key that its group deduplicates. */
+/** Routing settings with one request class: writes with an idempotency key, deduplicated within their group. */
 public final class TestSettings {
     private static final long MICROS_PER_MILLI = 1_000;
 
