--- a/src/main/java/crankwick/routing/AttemptTracker.java
+++ b/src/main/java/crankwick/routing/AttemptTracker.java
@@ -12,8 +12,8 @@
     /** The endpoint of an attempt is checked when the attempt takes this multiple of its expected duration. */
     private static final double LONG_RUNNING_FACTOR = 2.5;
     /**
-     * Added to {@link #LONG_RUNNING_FACTOR} for each e-fold of the cost of health checks: the number of attempts
-     * falls exponentially with their duration.
+     * Added to {@link #LONG_RUNNING_FACTOR} for each factor of e in the cost of health checks: the number of
+     * attempts falls exponentially with their duration.
      */
     private static final double LONG_RUNNING_COST_FACTOR = 2;
     /** An attempt at an idle endpoint counts as lost when it takes this multiple of its expected duration. */
--- a/src/main/java/crankwick/routing/EndpointGroup.java
+++ b/src/main/java/crankwick/routing/EndpointGroup.java
@@ -83,14 +83,15 @@
         return false;
     }
 
-    /** Whether the endpoint is neither the primary nor claims to be. */
+    /** Whether the endpoint is not the primary and does not claim to be. */
     boolean isReplica(EndpointState endpoint) {
         return endpoint != primary && endpoint.role() != Role.PRIMARY;
     }
 
     /**
      * Records evidence of a role; the newest evidence prevails. A primary's position is the current time, so the
-     * position in a report dates a claim to be primary, and only a replica claim with a later position replaces it.
+     * position in a report serves as the time of a claim to be primary, and a replica claim with an older position
+     * does not replace it.
      *
      * @return true if the primary changed or became unknown; false when a primary becomes known after none
      */
--- a/src/main/java/crankwick/routing/HealthCheckBudget.java
+++ b/src/main/java/crankwick/routing/HealthCheckBudget.java
@@ -4,7 +4,7 @@
 final class HealthCheckBudget {
     private static final double MAX_CHECK_BALANCE = 40;
     private static final double MAX_CHECKS_PER_REQUEST = 1;
-    /** The cost of health checks that each request pays for, in points. */
+    /** The cost of health checks, in points, that each request adds to the budget. */
     private static final double COST_PER_REQUEST = 0.03;
     /** The cost of a health check, in points, up to which the intervals between health checks are not extended. */
     private static final double REFERENCE_COST = 0.02;
--- a/src/main/java/crankwick/routing/HealthCheckScheduler.java
+++ b/src/main/java/crankwick/routing/HealthCheckScheduler.java
@@ -64,8 +64,8 @@
                 || !primary.isHealthy(now)
                 || primary.health().isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
         for (EndpointState endpoint : group.endpoints()) {
-            boolean isStalePrimary = endpoint == primary && !recency.hasRecentResponse(endpoint, now);
-            if ((primaryMayHaveChanged || isStalePrimary) && checker.mayCheck(endpoint, now)) {
+            boolean isPrimaryToVerify = endpoint == primary && !recency.hasRecentResponse(endpoint, now);
+            if ((primaryMayHaveChanged || isPrimaryToVerify) && checker.mayCheck(endpoint, now)) {
                 checker.check(endpoint, now, actions);
             }
         }
--- a/src/main/java/crankwick/routing/LoadShedder.java
+++ b/src/main/java/crankwick/routing/LoadShedder.java
@@ -32,9 +32,10 @@
      */
     boolean canRespondInTime(EndpointState endpoint, PendingRequest request, long now) {
         long objective = request.requestClass().latencyObjective();
-        double completedAt = now + latency.expectedDuration(endpoint, request, now);
-        double latest = Math.max(request.objectiveEndsAt(), now + objective / 2);
-        return !isOverloaded(endpoint, request, now) && completedAt < Math.min(request.lastUsefulAt(), latest);
+        double expectedResponseAt = now + latency.expectedDuration(endpoint, request, now);
+        double latestResponseAt = Math.max(request.objectiveEndsAt(), now + objective / 2);
+        return !isOverloaded(endpoint, request, now)
+                && expectedResponseAt < Math.min(request.lastUsefulAt(), latestResponseAt);
     }
 
     /**
--- a/src/main/java/crankwick/routing/PrimaryReadFallback.java
+++ b/src/main/java/crankwick/routing/PrimaryReadFallback.java
@@ -50,8 +50,8 @@
     /**
      * Whether the primary is idle, by its own recent report and with no write in flight, while the fresh replicas
      * lack capacity. This keeps a few replicas from being overloaded next to an idle primary. Drawback: many proxies
-     * may act on the same report. In a large fleet without load reports, the latency of all primaries must be that
-     * of idle ones.
+     * may act on the same report. In a large fleet without load reports, the mean latency of the primaries must not
+     * exceed that of idle endpoints.
      */
     private boolean hasIdlePrimary(PendingRequest request, long now) {
         EndpointState primary = request.group().primary();
--- a/src/test/java/crankwick/routing/EndpointGroupTest.java
+++ b/src/test/java/crankwick/routing/EndpointGroupTest.java
@@ -49,7 +49,7 @@
         assertFalse(group.needsTimer(100));
         assertTrue(group.needsTimer(99));
         group.clearDueTimer(99);
-        assertFalse(group.needsTimer(100), "an earlier timer has fired");
+        assertFalse(group.needsTimer(100), "a timer that fires early does not clear the pending one");
         group.clearDueTimer(100);
         assertTrue(group.needsTimer(1_000));
     }
--- a/src/test/java/crankwick/routing/ReadPathTest.java
+++ b/src/test/java/crankwick/routing/ReadPathTest.java
@@ -60,9 +60,9 @@
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.sessionTokensCarried = true;
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
-        long known = harness.now + 10 * MICROS_PER_MILLI;
-        harness.reportHealth("r1", Role.REPLICA, known);
-        harness.now = known + 40 * MICROS_PER_MILLI;
+        long reportedPosition = harness.now + 10 * MICROS_PER_MILLI;
+        harness.reportHealth("r1", Role.REPLICA, reportedPosition);
+        harness.now = reportedPosition + 40 * MICROS_PER_MILLI;
         assertNull(harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, 40 * MICROS_PER_MILLI - 1)));
         assertEquals("r1", harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 6, 40 * MICROS_PER_MILLI)));
         assertTrue(harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 7, 0))
@@ -90,9 +90,9 @@
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         long commit = harness.now + MICROS_PER_MILLI;
         harness.commitWrite(5, commit);
-        long any = harness.request(RouterTestHarness.EVENTUAL_READ);
-        String endpoint = harness.sentTo(any);
-        harness.endAttempt(any, AttemptResult.OK, Role.REPLICA, commit + 1);
+        long eventualRead = harness.request(RouterTestHarness.EVENTUAL_READ);
+        String endpoint = harness.sentTo(eventualRead);
+        harness.endAttempt(eventualRead, AttemptResult.OK, Role.REPLICA, commit + 1);
         assertEquals(endpoint, harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE)));
     }
 
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -277,7 +277,7 @@
         // Incident h25ee0b: responses to attempts sent before the ejection readmitted an outlier many times a second.
         RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
-        long earlier = harness.request(RouterTestHarness.EVENTUAL_READ);
+        long sentBeforeEjection = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 5; i++) {
             harness.now += MICROS_PER_MILLI;
             long id = harness.request(RouterTestHarness.EVENTUAL_READ);
@@ -286,7 +286,7 @@
             }
         }
         assertTrue(harness.actions.contains("log r1 ejected: failure rate above 50%, only trials until one succeeds"));
-        harness.succeed(earlier);
+        harness.succeed(sentBeforeEjection);
         assertFalse(harness.actions.contains("log r1 readmitted: attempt succeeded"));
         harness.advance(600 * MICROS_PER_MILLI);
         long trial = harness.request(RouterTestHarness.EVENTUAL_READ);
--- a/src/test/java/crankwick/routing/TestSettings.java
+++ b/src/test/java/crankwick/routing/TestSettings.java
@@ -12,7 +12,7 @@
 import crankwick.routing.api.StaleReadPolicy;
 import java.util.List;
 
-/** Routing settings with one request class: writes with an idempotency key, deduplicated within their group. */
+/** Settings shared by tests: one request class, writes with an idempotency key that are deduplicated per group. */
 public final class TestSettings {
     private static final long MICROS_PER_MILLI = 1_000;
 
