--- a/src/main/java/crankwick/broker/AbandonReason.java
+++ b/src/main/java/crankwick/broker/AbandonReason.java
@@ -1,9 +1,9 @@
 package crankwick.broker;
 
-/** How a client showed that it no longer wants an answer. */
+/** How a client signalled that it no longer waits for a reply. */
 public enum AbandonReason {
-    /** Its connection was closed. */
+    /** The client's connection was closed. */
     CLOSED,
-    /** It cancelled the request; its connection stays open. */
+    /** The client cancelled the request; its connection stays open. */
     CANCELLED
 }
--- a/src/main/java/crankwick/broker/ActiveRequest.java
+++ b/src/main/java/crankwick/broker/ActiveRequest.java
@@ -7,8 +7,8 @@
 import crankwick.routing.api.RequestClass;
 
 /**
- * The state machine of one request, from its admission until it is answered and has no attempt in flight. Only its
- * transitions change the state, so that there is one attempt in flight at most, and one answer:
+ * The state machine of one request, from its admission until it is completed and has no attempt in flight. Its state
+ * changes only through the transition methods, which ensure at most one attempt in flight and one reply:
  *
  * <pre>
  * request: (BUFFERED ->) ROUTED -> COMPLETED
@@ -17,19 +17,19 @@
  */
 final class ActiveRequest {
     private enum Phase {
-        /** It waits for its group's leader; the router does not know it yet. */
+        /** Waits for its group's leader; not passed to the router yet. */
         BUFFERED,
-        /** The router decides on its attempts. */
+        /** Passed to the router, which decides on its attempts. */
         ROUTED,
-        /** It has been answered, or its caller has left. */
+        /** Replied to, or abandoned by its client. */
         COMPLETED
     }
 
     private enum AttemptPhase {
         NONE,
-        /** Sent; it may wait for its connection. */
+        /** Handed to the database pool; may still be waiting for a connection. */
         QUEUED,
-        /** Its last byte has been written. */
+        /** The last byte of the attempt has been written. */
         WRITTEN
     }
 
@@ -44,9 +44,9 @@
     private String endpointId;
     private long sentAt;
     private long mayHaveExecutedSince = AbsentValue.NONE;
-    private boolean cancelledAtDeadline;
+    private boolean queuedCancelRequested;
 
-    /** A request that is admitted now and routed at once unless it is buffered. */
+    /** Creates a request that is admitted at {@code now}; it counts as routed unless {@link #buffer} is called. */
     ActiveRequest(ClientRequest request, RequestClass requestClass, TeamBudget budget, long expiresAt, long now) {
         this.request = request;
         this.requestClass = requestClass;
@@ -58,51 +58,51 @@
 
     // ---- Transitions ---------------------------------------------------------------------------------
 
-    /** Its group's leader is to be waited for before it is routed. */
+    /** Buffers the request until its group has a leader. */
     void buffer() {
         phase = Phase.BUFFERED;
     }
 
-    /** The wait is over. */
+    /** Ends the buffering; the request is routed from now on. */
     void release() {
         phase = Phase.ROUTED;
     }
 
-    /** Its caller is owed nothing any more; the one place where its share of the budget is returned. */
+    /** Marks the request as replied to or abandoned. Only this method releases its share of the team's budget. */
     void complete() {
         phase = Phase.COMPLETED;
         budget.releaseOutstanding();
     }
 
-    /** Numbers the next attempt, whether or not it will be sent. */
-    int nextAttempt() {
+    /** Returns the number of the next attempt. Attempts that are not sent use up a number too. */
+    int nextAttemptNumber() {
         return attempts++;
     }
 
-    /** The attempt that was numbered last is sent. */
+    /** Records that the attempt with the last assigned number is sent. */
     void beginAttempt(String endpoint, long now) {
         attemptPhase = AttemptPhase.QUEUED;
         endpointId = endpoint;
         sentAt = now;
-        history.sent(endpoint, now);
+        history.recordSent(endpoint, now);
     }
 
     void markAttemptWritten(long now) {
         attemptPhase = AttemptPhase.WRITTEN;
-        history.written(now);
+        history.recordWritten(now);
     }
 
     void endAttempt(AttemptResult result, long now) {
         attemptPhase = AttemptPhase.NONE;
-        history.ended(result, now);
+        history.recordEnded(result, now);
         if (mayHaveExecutedSince == AbsentValue.NONE && !result.provesNotExecuted()) {
             mayHaveExecutedSince = sentAt;
         }
     }
 
-    /** Past its deadline, its queued attempt has been cancelled, which happens once. */
-    void markCancelledAtDeadline() {
-        cancelledAtDeadline = true;
+    /** Records that cancellation of the queued attempt was requested at the deadline; it is requested only once. */
+    void markQueuedCancelRequested() {
+        queuedCancelRequested = true;
     }
 
     // ---- State ---------------------------------------------------------------------------------------
@@ -127,33 +127,37 @@
         return attemptPhase == AttemptPhase.WRITTEN;
     }
 
-    /** True if the attempt of this number is in flight. */
-    boolean isInFlight(int attempt) {
-        return isAttemptInFlight() && attempt == currentAttempt();
+    /** True if the attempt with this number is in flight. */
+    boolean isAttemptInFlight(int attempt) {
+        return isAttemptInFlight() && attempt == currentAttemptNumber();
     }
 
-    int currentAttempt() {
+    int currentAttemptNumber() {
         return attempts - 1;
     }
 
-    /** True if it is completed and nothing of it is in flight. */
+    /** True if the request is completed and has no attempt in flight. */
     boolean isFinished() {
         return isCompleted() && !isAttemptInFlight();
     }
 
-    boolean isCancelledAtDeadline() {
-        return cancelledAtDeadline;
+    boolean isQueuedCancelRequested() {
+        return queuedCancelRequested;
     }
 
-    /** True if an attempt may be sent now, by its state and its times. */
+    /** True if the request's state and its start deadline permit sending an attempt at {@code now}. */
     boolean mayBeginAttempt(long now) {
         return !isAttemptInFlight() && !isCompleted() && now < startDeadline();
     }
 
-    /** From when on no attempt may begin: its deadline, or the end of its key's window if it may have executed. */
+    /**
+     * No attempt may begin at or after this time: the request's deadline or, if the request has an idempotency key and
+     * an attempt may have executed, the end of the key window if that is earlier.
+     */
     long startDeadline() {
-        boolean retry = requestClass.idempotency() == Idempotency.WITH_KEY && mayHaveExecutedSince != AbsentValue.NONE;
-        return retry ? Math.min(expiresAt, mayHaveExecutedSince + requestClass.keyTtl()) : expiresAt;
+        boolean hasKeyWindow =
+                requestClass.idempotency() == Idempotency.WITH_KEY && mayHaveExecutedSince != AbsentValue.NONE;
+        return hasKeyWindow ? Math.min(expiresAt, mayHaveExecutedSince + requestClass.keyTtl()) : expiresAt;
     }
 
     boolean isWrite() {
@@ -180,12 +184,12 @@
         return expiresAt;
     }
 
-    /** Where its attempt in flight, or its last one, was sent; null before the first. */
+    /** The endpoint of the attempt in flight or, if there is none, of the last attempt; null before the first. */
     String endpointId() {
         return endpointId;
     }
 
-    /** When its attempt in flight, or its last one, was sent. */
+    /** When the attempt in flight or, if there is none, the last attempt was sent. */
     long sentAt() {
         return sentAt;
     }
--- a/src/main/java/crankwick/broker/ActiveRequests.java
+++ b/src/main/java/crankwick/broker/ActiveRequests.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All requests that are not finished, and the identifiers that their clients gave them. */
+/** All requests that are not finished, and their client request IDs. */
 final class ActiveRequests {
     private final Map<Long, ActiveRequest> byId = new HashMap<>();
     private final Set<String> clientRequestIds = new HashSet<>();
 
-    /** A request by the broker's number; null if it is finished. */
+    /** Finds a request by the broker's ID; null if it is finished. */
     ActiveRequest find(long requestId) {
         return byId.get(requestId);
     }
@@ -25,7 +25,7 @@
         clientRequestIds.add(request.request().clientRequestId());
     }
 
-    /** Removes a request; false if it was removed before. */
+    /** Removes a request; false if it had already been removed. */
     boolean remove(ActiveRequest request) {
         boolean removed = byId.remove(request.id()) != null;
         if (removed) {
@@ -38,7 +38,7 @@
         return byId.values();
     }
 
-    /** How many requests are still owed an answer. */
+    /** The number of requests that have been neither replied to nor abandoned. */
     long countOutstanding() {
         return byId.values().stream().filter(request -> !request.isCompleted()).count();
     }
--- a/src/main/java/crankwick/broker/AdmissionController.java
+++ b/src/main/java/crankwick/broker/AdmissionController.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Admits requests by the contracts of their teams. */
+/** Admits requests within the limits of their teams' contracts. */
 final class AdmissionController {
     private final List<RequestClass> requestClasses;
     private final Map<String, Contract> contracts;
@@ -17,9 +17,10 @@
     }
 
     /**
-     * Decides on a request; a rejection says when to retry.
+     * Admits or denies a request; a rejection carries a retry-after time.
      *
-     * @param idInUse whether an open request has the same client's identifier: both would reach the databases by it
+     * @param idInUse whether an unfinished request has the same client request ID; such a request is denied, because
+     *     databases could not tell the two apart
      */
     AdmissionDecision decide(ClientRequest request, boolean idInUse, long now) {
         Contract contract = contracts.get(request.team());
@@ -30,12 +31,12 @@
         if (!contract.allows(request.classIndex())) {
             return failed(Reply.Reason.CLASS_NOT_ALLOWED);
         }
-        if (budget.isOutstandingExhausted()) {
+        if (budget.isOutstandingLimitReached()) {
             long latencyObjective = requestClasses.get(request.classIndex()).latencyObjective();
             return rejected(Reply.Reason.OVER_OUTSTANDING, latencyObjective);
         }
         if (!budget.tryAcquireToken(now)) {
-            return rejected(Reply.Reason.OVER_RATE, budget.timeUntilToken());
+            return rejected(Reply.Reason.OVER_RATE, budget.timeUntilNextToken());
         }
         return new AdmissionDecision.Admitted(budget, contract.capTimeout(request.timeout()));
     }
--- a/src/main/java/crankwick/broker/AttemptController.java
+++ b/src/main/java/crankwick/broker/AttemptController.java
@@ -13,23 +13,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Sends and cancels attempts, and takes their outcomes. */
+/** Sends and cancels attempts, and handles their outcomes. */
 final class AttemptController {
-    private final Reduction reduction;
+    private final ReductionContext context;
     private final RoutingSettings settings;
     private final ActiveRequests requests;
     private final RequestLifecycle lifecycle;
-    private final FailoverGate failover;
+    private final FailoverDelegate failover;
     private final BrokerCounters counters;
 
     AttemptController(
-            Reduction reduction,
+            ReductionContext context,
             RoutingSettings settings,
             ActiveRequests requests,
             RequestLifecycle lifecycle,
-            FailoverGate failover,
+            FailoverDelegate failover,
             BrokerCounters counters) {
-        this.reduction = reduction;
+        this.context = context;
         this.settings = settings;
         this.requests = requests;
         this.lifecycle = lifecycle;
@@ -37,10 +37,10 @@
         this.counters = counters;
     }
 
-    /** Sends an attempt, if the request's state, its times and its key allow one. */
+    /** Sends an attempt if the request's state, start deadline and idempotency key permit it. */
     void send(ActiveRequest request, String endpointId) {
-        long now = reduction.now();
-        int attempt = request.nextAttempt();
+        long now = context.now();
+        int attempt = request.nextAttemptNumber();
         if (!request.mayBeginAttempt(now) || attempt >= settings.limits().maxAttempts()) {
             counters.count(AttemptResult.NOT_SENT);
             reportNotSent(request, attempt, endpointId);
@@ -48,18 +48,18 @@
         }
         AttemptPermit permit = failover.permitAttempt(request.id(), endpointId, now);
         if (permit != AttemptPermit.GRANTED) {
-            lifecycle.answer(request, answerTo(request, permit));
+            lifecycle.reply(request, denialReply(request, permit));
             reportNotSent(request, attempt, endpointId);
             lifecycle.removeIfFinished(request);
             return;
         }
         request.beginAttempt(endpointId, now);
-        counters.countSent();
-        reduction.emit(new Effect.SendAttempt(
+        counters.countAttemptSent();
+        context.emit(new Effect.SendAttempt(
                 request.id(), attempt, endpointId, request.expiresAt(), request.startDeadline()));
     }
 
-    private static Reply answerTo(ActiveRequest request, AttemptPermit denial) {
+    private static Reply denialReply(ActiveRequest request, AttemptPermit denial) {
         return denial == AttemptPermit.KEY_EXPIRED
                 ? new Reply.Failed(Reply.Reason.KEY_IN_DOUBT)
                 : new Reply.Rejected(
@@ -67,7 +67,7 @@
     }
 
     private void reportNotSent(ActiveRequest request, int attempt, String endpointId) {
-        reduction.addRoutingEvent(new AttemptOutcome(
+        context.addRoutingEvent(new AttemptOutcome(
                 request.id(),
                 attempt,
                 request.isCompleted(),
@@ -79,27 +79,27 @@
                 null));
     }
 
-    /** The last byte of an attempt has been written. */
+    /** Records that the last byte of an attempt has been written. */
     void onWritten(BrokerEvent.AttemptWritten event) {
         ActiveRequest request = requests.find(event.requestId());
-        if (request != null && request.isInFlight(event.attempt())) {
-            request.markAttemptWritten(reduction.now());
+        if (request != null && request.isAttemptInFlight(event.attempt())) {
+            request.markAttemptWritten(context.now());
         }
     }
 
-    /** An attempt has ended; that of one which was cancelled before changes nothing. */
+    /** Handles the end of an attempt; the end of an attempt that has already been cancelled is ignored. */
     void onEnded(BrokerEvent.AttemptEnded event) {
         ActiveRequest request = requests.find(event.requestId());
-        if (request != null && request.isInFlight(event.attempt())) {
+        if (request != null && request.isAttemptInFlight(event.attempt())) {
             end(request, event);
         }
     }
 
-    /** Stops waiting for the attempt in flight, which ends with {@code result}. */
+    /** Cancels the attempt in flight and ends it with {@code result}. */
     void cancel(ActiveRequest request, AttemptResult result) {
-        int attempt = request.currentAttempt();
-        reduction.emit(new Effect.CancelAttempt(request.id(), attempt));
-        long duration = reduction.now() - request.sentAt();
+        int attempt = request.currentAttemptNumber();
+        context.emit(new Effect.CancelAttempt(request.id(), attempt));
+        long duration = context.now() - request.sentAt();
         end(
                 request,
                 new BrokerEvent.AttemptEnded(
@@ -107,10 +107,10 @@
     }
 
     private void end(ActiveRequest request, BrokerEvent.AttemptEnded event) {
-        long now = reduction.now();
+        long now = context.now();
         request.endAttempt(event.result(), now);
         counters.count(event.result());
-        long position = PositionCheck.plausible(event.position(), now);
+        long position = LogPositionFilter.discardImplausible(event.position(), now);
         Role role = failover.onAttemptObserved(
                 new AttemptObservation(
                         request.endpointId(),
@@ -120,13 +120,13 @@
                         event.role(),
                         position),
                 now);
-        LoadReport report =
-                failover.onLoadReport(request.endpointId(), PositionCheck.plausible(event.report(), now), now);
+        LoadReport report = failover.onLoadReport(
+                request.endpointId(), LogPositionFilter.discardImplausible(event.report(), now), now);
         failover.onAttemptEnded(event, now);
         if (event.result() == AttemptResult.OK) {
-            lifecycle.answer(request, new Reply.Served(event.value(), request.isWrite(), position));
+            lifecycle.reply(request, new Reply.Served(event.value(), request.isWrite(), position));
         }
-        reduction.addRoutingEvent(new AttemptOutcome(
+        context.addRoutingEvent(new AttemptOutcome(
                 event.requestId(),
                 event.attempt(),
                 request.isCompleted(),
@@ -139,21 +139,24 @@
         lifecycle.removeIfFinished(request);
     }
 
-    /** Attempts that are queued for an endpoint that is leaving are routed anew, once the router has the list. */
-    void cancelQueuedAtLeavingEndpoints(BrokerEvent.EndpointsUpdated event) {
-        Map<String, EndpointStatus> listed = new HashMap<>();
-        event.endpoints().forEach(endpoint -> listed.put(endpoint.id(), endpoint.status()));
-        EndpointStatus unlisted =
+    /**
+     * Cancels queued attempts at draining endpoints and, unless the rules permit their use, at removed endpoints. The
+     * router handles the endpoint update first, and chooses another endpoint when it receives the attempts' outcomes.
+     */
+    void cancelQueuedAttemptsAtUnusableEndpoints(BrokerEvent.EndpointsUpdated event) {
+        Map<String, EndpointStatus> listedStatuses = new HashMap<>();
+        event.endpoints().forEach(endpoint -> listedStatuses.put(endpoint.id(), endpoint.status()));
+        EndpointStatus unlistedStatus =
                 event.kind() == EndpointUpdateKind.FULL ? EndpointStatus.REMOVED : EndpointStatus.LIVE;
         for (ActiveRequest request : requests.all()) {
-            EndpointStatus status = listed.getOrDefault(request.endpointId(), unlisted);
-            if (request.isAttemptQueued() && isLeaving(status)) {
-                reduction.emit(new Effect.CancelQueuedAttempt(request.id()));
+            EndpointStatus status = listedStatuses.getOrDefault(request.endpointId(), unlistedStatus);
+            if (request.isAttemptQueued() && isUnusable(status)) {
+                context.emit(new Effect.CancelQueuedAttempt(request.id()));
             }
         }
     }
 
-    private boolean isLeaving(EndpointStatus status) {
+    private boolean isUnusable(EndpointStatus status) {
         return status == EndpointStatus.DRAINING
                 || status == EndpointStatus.REMOVED && !settings.rules().unlistedEndpointsUsable();
     }
--- a/src/main/java/crankwick/broker/Broker.java
+++ b/src/main/java/crankwick/broker/Broker.java
@@ -15,14 +15,14 @@
 import java.util.Map;
 
 /**
- * The reducer: every change of a request's state happens here, on one thread, as (event, now) to effects. It only
- * orders the steps: the event first, then what the router decides on it, then what follows for failovers.
+ * The reducer of request state: turns an event and the current time into effects, on a single thread. This class only
+ * orders the steps: it handles the event, then runs the router, then the failover coordinator, then the router again.
  */
 public final class Broker {
-    private final Reduction reduction = new Reduction();
+    private final ReductionContext context = new ReductionContext();
     private final BrokerCounters counters = new BrokerCounters();
     private final ActiveRequests requests = new ActiveRequests();
-    private final FailoverGate failover;
+    private final FailoverDelegate failover;
     private final RequestLifecycle lifecycle;
     private final AttemptController attempts;
     private final RoutingDriver routing;
@@ -30,37 +30,37 @@
     private final FailoverActions failoverActions;
 
     /**
-     * Serves the teams of {@code contracts}; a listener accepts no other. Without {@code failoverSettings} (null),
-     * failovers are left to the router alone.
+     * Creates a broker for the teams of {@code contracts}; listeners accept no other teams. If
+     * {@code failoverSettings} is null, there is no failover coordinator and only the router handles failovers.
      */
     public Broker(
             RoutingSettings settings, long seed, Map<String, Contract> contracts, FailoverSettings failoverSettings) {
         AdmissionController admission = new AdmissionController(settings.requestClasses(), contracts);
         Router router = new Router(settings, seed);
-        failover = new FailoverGate(
+        failover = new FailoverDelegate(
                 failoverSettings == null ? null : new FailoverCoordinator(failoverSettings, settings, seed));
-        lifecycle = new RequestLifecycle(reduction, settings.requestClasses(), admission, requests, failover, counters);
-        attempts = new AttemptController(reduction, settings, requests, lifecycle, failover, counters);
+        lifecycle = new RequestLifecycle(context, settings.requestClasses(), admission, requests, failover, counters);
+        attempts = new AttemptController(context, settings, requests, lifecycle, failover, counters);
         RoutingActions routerActions =
-                new RouterActionHandler(reduction, requests, lifecycle, attempts, failover, counters);
-        routing = new RoutingDriver(reduction, router, routerActions);
-        deadlines = new DeadlineHandler(reduction, requests, lifecycle, attempts, routing, failover);
-        failoverActions = new FailoverActionHandler(reduction, requests, lifecycle, attempts);
+                new RouterActionHandler(context, requests, lifecycle, attempts, failover, counters);
+        routing = new RoutingDriver(context, router, routerActions);
+        deadlines = new DeadlineHandler(context, requests, lifecycle, attempts, routing, failover);
+        failoverActions = new FailoverActionHandler(context, requests, lifecycle, attempts);
     }
 
-    /** Takes one event at the caller's time; the effects are to be carried out in order. */
+    /** Reduces one event at the caller's {@code time}; the caller carries out the returned effects in order. */
     public List<Effect> reduce(BrokerEvent event, long time) {
-        reduction.begin(time);
-        long groupId = affectedGroup(event);
+        context.begin(time);
+        long groupId = affectedGroupId(event);
         handle(event);
-        routing.run();
+        routing.processPendingEvents();
         failover.decide(event, groupId, time, failoverActions);
-        routing.run();
-        return reduction.effects();
+        routing.processPendingEvents();
+        return context.effects();
     }
 
-    /** The one group whose failover an event may advance, or NONE. */
-    private long affectedGroup(BrokerEvent event) {
+    /** The ID of the only group whose failover the event may advance, or NONE. */
+    private long affectedGroupId(BrokerEvent event) {
         if (event instanceof BrokerEvent.RequestReceived e) {
             return e.request().groupId();
         } else if (event instanceof BrokerEvent.AttemptEnded e) {
@@ -84,7 +84,7 @@
         } else if (event instanceof BrokerEvent.DeadlineReached e) {
             deadlines.onDeadline(e.requestId());
         } else if (event instanceof BrokerEvent.RoutingTimerFired e) {
-            reduction.addRoutingEvent(new TimerFired(e.timerId()));
+            context.addRoutingEvent(new TimerFired(e.timerId()));
         } else if (event instanceof BrokerEvent.HealthCheckEnded e) {
             onHealthCheckEnded(e);
         } else if (event instanceof BrokerEvent.EndpointsUpdated e) {
@@ -93,28 +93,28 @@
     }
 
     private void onHealthCheckEnded(BrokerEvent.HealthCheckEnded e) {
-        long now = reduction.now();
+        long now = context.now();
         LoadReport report = failover.onHealthCheckEnded(
-                e.endpointId(), e.result(), e.duration(), PositionCheck.plausible(e.report(), now), now);
-        reduction.addRoutingEvent(new HealthCheckResult(e.endpointId(), e.result(), e.duration(), report));
+                e.endpointId(), e.result(), e.duration(), LogPositionFilter.discardImplausible(e.report(), now), now);
+        context.addRoutingEvent(new HealthCheckResult(e.endpointId(), e.result(), e.duration(), report));
     }
 
     private void onEndpointsUpdated(BrokerEvent.EndpointsUpdated e) {
-        reduction.addRoutingEvent(new EndpointUpdate(e.kind(), failover.onEndpointsUpdated(e, reduction.now())));
-        attempts.cancelQueuedAtLeavingEndpoints(e);
+        context.addRoutingEvent(new EndpointUpdate(e.kind(), failover.onEndpointsUpdated(e, context.now())));
+        attempts.cancelQueuedAttemptsAtUnusableEndpoints(e);
     }
 
-    /** What is known of failovers; null where they are left to the router alone. */
+    /** The failover coordinator; null if only the router handles failovers. */
     public FailoverCoordinator failoverCoordinator() {
         return failover.coordinator();
     }
 
-    /** Requests that are still owed an answer. */
+    /** The number of requests that have been neither replied to nor abandoned. */
     public long outstandingRequests() {
         return requests.countOutstanding();
     }
 
-    /** What has been counted so far. */
+    /** The counters since the start of the broker. */
     public BrokerCounters counters() {
         return counters;
     }
--- a/src/main/java/crankwick/broker/BrokerCounters.java
+++ b/src/main/java/crankwick/broker/BrokerCounters.java
@@ -4,7 +4,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What the broker has received, sent and answered since its start. */
+/** Counts the requests, attempts, health checks and replies of the broker since its start. */
 public final class BrokerCounters {
     private long received;
     private long sent;
@@ -19,7 +19,7 @@
         received++;
     }
 
-    void countSent() {
+    void countAttemptSent() {
         sent++;
     }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /** One line for the operators. */
+    /** All counters in one line, for the operators. */
     @Override
     public String toString() {
         return "received=" + received + " sent=" + sent + " health_checks=" + healthChecks + " served=" + served
--- a/src/main/java/crankwick/broker/BrokerEvent.java
+++ b/src/main/java/crankwick/broker/BrokerEvent.java
@@ -12,13 +12,13 @@
     /** A client's request has been received completely. */
     record RequestReceived(ClientRequest request) implements BrokerEvent {}
 
-    /** The client has left; no answer is owed. */
+    /** The client has abandoned the request and receives no reply. */
     record RequestAbandoned(long requestId, AbandonReason reason) implements BrokerEvent {}
 
     /** The last byte of an attempt has been written. */
     record AttemptWritten(long requestId, int attempt) implements BrokerEvent {}
 
-    /** An attempt has ended; {@code value} is of meaning only where the result is OK. */
+    /** An attempt has ended; {@code value} is meaningful only if the result is OK. */
     record AttemptEnded(
             long requestId,
             int attempt,
@@ -34,7 +34,7 @@
     record HealthCheckEnded(String endpointId, AttemptResult result, long duration, LoadReport report)
             implements BrokerEvent {}
 
-    /** The endpoint list, or a part of it, has been received. */
+    /** The endpoint list or an incremental update of it has been received. */
     record EndpointsUpdated(EndpointUpdateKind kind, List<Endpoint> endpoints) implements BrokerEvent {}
 
     /** A timer that the router scheduled has fired. */
@@ -43,6 +43,6 @@
     /** The timer that the failover coordinator scheduled has fired. */
     record FailoverTimerFired() implements BrokerEvent {}
 
-    /** A request's deadline has been reached, or its attempt's grace period after that is over. */
+    /** A request's deadline has been reached, or the grace period that its attempt had after the deadline has ended. */
     record DeadlineReached(long requestId) implements BrokerEvent {}
 }
--- a/src/main/java/crankwick/broker/BrokerEventSink.java
+++ b/src/main/java/crankwick/broker/BrokerEventSink.java
@@ -1,7 +1,7 @@
 package crankwick.broker;
 
-/** Takes events for the broker; to be called on its event loop. */
+/** Receives events for the broker; must be called on the broker's event loop. */
 public interface BrokerEventSink {
-    /** Hands an event to the broker. */
+    /** Passes an event to the broker. */
     void publish(BrokerEvent event);
 }
--- a/src/main/java/crankwick/broker/ClientRequest.java
+++ b/src/main/java/crankwick/broker/ClientRequest.java
@@ -1,16 +1,16 @@
 package crankwick.broker;
 
 /**
- * A request as its client sent it. Times and positions are microseconds, NONE where absent.
+ * A request as its client sent it. Times and positions are in microseconds, NONE if absent.
  *
- * @param requestId the broker's number for it, never used twice
- * @param clientRequestId its client's identifier for it, which databases see; no two open requests may share one
+ * @param requestId the broker's ID of the request, never reused
+ * @param clientRequestId the client's ID of the request, passed on to databases; unique among unfinished requests
  * @param team the team whose contract applies
- * @param classIndex the index of its class in the settings
- * @param requiredPosition the log position that a replica must have reached to serve it
- * @param timeout how long the client waits from now on
- * @param idempotencyKey its idempotency key; null for none
- * @param statementBytes how many bytes buffering its statement takes
+ * @param classIndex the index of the request's class in the settings
+ * @param requiredPosition the minimum log position of a replica that may serve the request
+ * @param timeout how long the client waits for a reply, counted from the receipt of the request
+ * @param idempotencyKey the idempotency key; null if there is none
+ * @param statementBytes the memory that the statement takes while the request is buffered, in bytes
  */
 public record ClientRequest(
         long requestId,
--- a/src/main/java/crankwick/broker/DeadlineHandler.java
+++ b/src/main/java/crankwick/broker/DeadlineHandler.java
@@ -2,26 +2,29 @@
 
 import crankwick.routing.api.AttemptResult;
 
-/** Decides what becomes of requests at their deadlines. */
+/** Handles requests whose deadline has been reached. */
 final class DeadlineHandler {
-    /** For how long an idempotent attempt may end by itself: its outcome is learned, its connection is kept. */
+    /**
+     * How long after its deadline a written idempotent attempt may still finish. This way its outcome is recorded and
+     * its connection is not closed.
+     */
     private static final long GRACE_PERIOD_MICROS = 1_000_000;
 
-    private final Reduction reduction;
+    private final ReductionContext context;
     private final ActiveRequests requests;
     private final RequestLifecycle lifecycle;
     private final AttemptController attempts;
     private final RoutingDriver routing;
-    private final FailoverGate failover;
+    private final FailoverDelegate failover;
 
     DeadlineHandler(
-            Reduction reduction,
+            ReductionContext context,
             ActiveRequests requests,
             RequestLifecycle lifecycle,
             AttemptController attempts,
             RoutingDriver routing,
-            FailoverGate failover) {
-        this.reduction = reduction;
+            FailoverDelegate failover) {
+        this.context = context;
         this.requests = requests;
         this.lifecycle = lifecycle;
         this.attempts = attempts;
@@ -29,50 +32,51 @@
         this.failover = failover;
     }
 
-    /** A request that has no answer at its deadline has failed, or is rejected if it has only been buffered. */
+    /** Fails a request that has no reply at its deadline, or rejects it if it was buffered and never executed. */
     void onDeadline(long requestId) {
         ActiveRequest request = requests.find(requestId);
         if (request == null) {
             return;
         }
-        if (mayEndByItself(request)) {
-            scheduleAgain(request, request.expiresAt() + GRACE_PERIOD_MICROS - reduction.now());
-        } else if (request.isAttemptQueued() && !request.isCancelledAtDeadline()) {
-            cancelQueued(request);
+        if (isWithinGracePeriod(request)) {
+            rescheduleDeadline(request, request.expiresAt() + GRACE_PERIOD_MICROS - context.now());
+        } else if (request.isAttemptQueued() && !request.isQueuedCancelRequested()) {
+            cancelQueuedAttempt(request);
             return;
         } else if (request.isAttemptInFlight()) {
             attempts.cancel(request, AttemptResult.TIMEOUT);
-            routing.run();
+            routing.processPendingEvents();
         }
         if (!request.isCompleted()) {
-            lifecycle.answerAndAbandon(request, answerAtDeadline(request));
+            lifecycle.replyAndAbandon(request, replyAtDeadline(request));
         }
     }
 
-    private boolean mayEndByItself(ActiveRequest request) {
+    private boolean isWithinGracePeriod(ActiveRequest request) {
         return request.isAttemptWritten()
                 && request.isIdempotent()
-                && reduction.now() < request.expiresAt() + GRACE_PERIOD_MICROS;
+                && context.now() < request.expiresAt() + GRACE_PERIOD_MICROS;
     }
 
     /**
-     * The command may be on its way, which only the pool can tell: an attempt that has not begun ends by this as
-     * not sent, and one that has begun is cancelled right afterwards as one that may have executed.
+     * Only the database pool knows whether the attempt has begun. If not, the effect ends it with NOT_SENT; otherwise
+     * the attempt is still in flight when the rescheduled deadline is handled right afterwards, and is cancelled as an
+     * attempt that may have executed.
      */
-    private void cancelQueued(ActiveRequest request) {
-        request.markCancelledAtDeadline();
-        reduction.emit(new Effect.CancelQueuedAttempt(request.id()));
-        scheduleAgain(request, 0);
+    private void cancelQueuedAttempt(ActiveRequest request) {
+        request.markQueuedCancelRequested();
+        context.emit(new Effect.CancelQueuedAttempt(request.id()));
+        rescheduleDeadline(request, 0);
     }
 
-    private void scheduleAgain(ActiveRequest request, long delay) {
-        reduction.emit(new Effect.ScheduleTimer(delay, new BrokerEvent.DeadlineReached(request.id())));
+    private void rescheduleDeadline(ActiveRequest request, long delay) {
+        context.emit(new Effect.ScheduleTimer(delay, new BrokerEvent.DeadlineReached(request.id())));
     }
 
-    private Reply answerAtDeadline(ActiveRequest request) {
+    private Reply replyAtDeadline(ActiveRequest request) {
         boolean neverExecuted = request.isBuffered() && !failover.hasUnknownOutcome(request.id());
         return neverExecuted
-                ? failover.noPrimary(request.request(), reduction.now())
+                ? failover.noPrimaryReply(request.request(), context.now())
                 : new Reply.Failed(Reply.Reason.NO_OUTCOME);
     }
 }
--- a/src/main/java/crankwick/broker/FailoverActionHandler.java
+++ b/src/main/java/crankwick/broker/FailoverActionHandler.java
@@ -3,16 +3,16 @@
 import crankwick.failover.FailoverActions;
 import crankwick.routing.api.AttemptResult;
 
-/** Turns the failover coordinator's decisions into events for the router, and effects. */
+/** Turns the failover coordinator's actions into routing events and effects. */
 final class FailoverActionHandler implements FailoverActions {
-    private final Reduction reduction;
+    private final ReductionContext context;
     private final ActiveRequests requests;
     private final RequestLifecycle lifecycle;
     private final AttemptController attempts;
 
     FailoverActionHandler(
-            Reduction reduction, ActiveRequests requests, RequestLifecycle lifecycle, AttemptController attempts) {
-        this.reduction = reduction;
+            ReductionContext context, ActiveRequests requests, RequestLifecycle lifecycle, AttemptController attempts) {
+        this.context = context;
         this.requests = requests;
         this.lifecycle = lifecycle;
         this.attempts = attempts;
@@ -25,22 +25,22 @@
 
     @Override
     public void reject(long requestId, long retryAfter) {
-        answer(requestId, new Reply.Rejected(Reply.Reason.NO_PRIMARY, retryAfter));
+        reply(requestId, new Reply.Rejected(Reply.Reason.NO_PRIMARY, retryAfter));
     }
 
     @Override
     public void failUnknownOutcome(long requestId) {
-        answer(requestId, new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
+        reply(requestId, new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
     }
 
-    /** The router hears of the answer only if it knows the request. */
-    private void answer(long requestId, Reply reply) {
+    /** Replies to a request, and notifies the router unless the request was only buffered. */
+    private void reply(long requestId, Reply reply) {
         ActiveRequest request = requests.find(requestId);
         if (request.isBuffered()) {
-            lifecycle.answer(request, reply);
+            lifecycle.reply(request, reply);
             lifecycle.removeIfFinished(request);
         } else {
-            lifecycle.answerAndAbandon(request, reply);
+            lifecycle.replyAndAbandon(request, reply);
         }
     }
 
@@ -54,11 +54,11 @@
 
     @Override
     public void scheduleTimer(long delay) {
-        reduction.emit(new Effect.ScheduleTimer(delay, new BrokerEvent.FailoverTimerFired()));
+        context.emit(new Effect.ScheduleTimer(delay, new BrokerEvent.FailoverTimerFired()));
     }
 
     @Override
     public void log(String line) {
-        reduction.emit(new Effect.Log(line));
+        context.emit(new Effect.Log(line));
     }
 }
--- a/src/main/java/crankwick/broker/FailoverGate.java
+++ b/src/main/java/crankwick/broker/FailoverDelegate.java
@@ -13,16 +13,16 @@
 import crankwick.routing.api.Role;
 import java.util.List;
 
-/** Asks the failover coordinator where there is one; without it, failovers are left to the router alone. */
-final class FailoverGate {
+/** Delegates to the failover coordinator; without a coordinator, only the router handles failovers. */
+final class FailoverDelegate {
     private final FailoverCoordinator coordinator;
 
-    /** {@code coordinator} may be null. */
-    FailoverGate(FailoverCoordinator coordinator) {
+    /** Creates a delegate; {@code coordinator} is null if only the router handles failovers. */
+    FailoverDelegate(FailoverCoordinator coordinator) {
         this.coordinator = coordinator;
     }
 
-    /** The coordinator; null where there is none. */
+    /** The failover coordinator; null if there is none. */
     FailoverCoordinator coordinator() {
         return coordinator;
     }
@@ -42,8 +42,8 @@
         return coordinator.admit(arrival, now);
     }
 
-    /** The answer to a request of a group that has no leader in time. */
-    Reply noPrimary(ClientRequest request, long now) {
+    /** The rejection of a request whose group has no leader before the request's deadline. */
+    Reply noPrimaryReply(ClientRequest request, long now) {
         long retryAfter = coordinator.retryAfter(request.groupId(), request.classIndex(), now);
         return new Reply.Rejected(Reply.Reason.NO_PRIMARY, retryAfter);
     }
@@ -52,7 +52,7 @@
         return coordinator == null ? AttemptPermit.GRANTED : coordinator.permitAttempt(requestId, endpointId, now);
     }
 
-    /** True if the request's key may have executed by another request, so that it must not be called harmless. */
+    /** True if any request with this request's key may have executed, so that a retry must not be reported as safe. */
     boolean hasUnknownOutcome(long requestId) {
         return coordinator != null && coordinator.hasUnknownOutcome(requestId);
     }
@@ -63,12 +63,12 @@
         }
     }
 
-    /** The role that an attempt's end reports, UNKNOWN where it is outdated. */
+    /** Evaluates an attempt's outcome and returns the role that it reported, UNKNOWN if that is outdated. */
     Role onAttemptObserved(AttemptObservation attempt, long now) {
         return coordinator == null ? attempt.role() : coordinator.onAttemptObserved(attempt, now);
     }
 
-    /** The report of an attempt's end, with its role UNKNOWN where that is outdated. */
+    /** Evaluates the load report of an attempt and returns it, with the role UNKNOWN if that is outdated. */
     LoadReport onLoadReport(String endpointId, LoadReport report, long now) {
         return coordinator == null ? report : coordinator.onLoadReport(endpointId, report, now);
     }
@@ -79,24 +79,24 @@
         }
     }
 
-    /** A health check's report, with its role UNKNOWN where that is outdated. */
+    /** Evaluates a health check and returns its load report, with the role UNKNOWN if that is outdated. */
     LoadReport onHealthCheckEnded(String endpointId, AttemptResult result, long duration, LoadReport report, long now) {
         return coordinator == null ? report : coordinator.onHealthCheckEnded(endpointId, result, duration, report, now);
     }
 
-    /** The endpoint list without outdated claims to be primary. */
+    /** Evaluates an endpoint update and returns its endpoints, without outdated claims to be primary. */
     List<Endpoint> onEndpointsUpdated(BrokerEvent.EndpointsUpdated event, long now) {
         return coordinator == null
                 ? event.endpoints()
                 : coordinator.onEndpointsUpdated(event.kind(), event.endpoints(), now);
     }
 
-    /** The number of an endpoint's group, or NONE. */
+    /** The ID of an endpoint's group, or NONE. */
     long groupIdOf(String endpointId) {
         return coordinator == null ? AbsentValue.NONE : coordinator.groupIdOf(endpointId);
     }
 
-    /** Decides what follows from an event; {@code groupId} is the one group that it concerns, or NONE. */
+    /** Decides on failovers after an event; {@code groupId} is the only group that the event affects, or NONE. */
     void decide(BrokerEvent event, long groupId, long now, FailoverActions actions) {
         if (coordinator == null) {
             return;
--- a/src/main/java/crankwick/broker/Reduction.java
+++ b/src/main/java/crankwick/broker/ReductionContext.java
@@ -5,18 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The reduction of one event: its time, the effects so far, and the events that the router is to handle. */
-final class Reduction {
-    private static final int TYPICAL_EFFECTS = 4;
+/** The state of the current reduction: its time, the effects so far, and the pending events for the router. */
+final class ReductionContext {
+    private static final int INITIAL_EFFECTS_CAPACITY = 4;
 
     private final ArrayDeque<RoutingEvent> routingEvents = new ArrayDeque<>();
     private List<Effect> effects = new ArrayList<>();
     private long now;
 
-    /** Begins with the next event. */
+    /** Begins the reduction of the next event. */
     void begin(long time) {
         now = time;
-        effects = new ArrayList<>(TYPICAL_EFFECTS);
+        effects = new ArrayList<>(INITIAL_EFFECTS_CAPACITY);
     }
 
     long now() {
@@ -27,7 +27,7 @@
         effects.add(effect);
     }
 
-    /** The effects in the order in which they are to be carried out. */
+    /** The effects of the current reduction, in the order in which they must be carried out. */
     List<Effect> effects() {
         return effects;
     }
@@ -36,7 +36,7 @@
         routingEvents.add(event);
     }
 
-    /** The next event for the router; null if there is none. */
+    /** Removes and returns the next event for the router; null if there is none. */
     RoutingEvent pollRoutingEvent() {
         return routingEvents.poll();
     }
--- a/src/main/java/crankwick/broker/Reply.java
+++ b/src/main/java/crankwick/broker/Reply.java
@@ -1,12 +1,13 @@
 package crankwick.broker;
 
-/** A request's one final answer, which each protocol encodes in its own way. */
+/** The final reply to a request; each protocol has its own encoding. */
 public sealed interface Reply {
     /**
-     * Why a request was rejected or failed: each reason has its own number in a protocol that has numbers.
-     * NO_PRIMARY: its group's failover takes longer than it can wait. KEY_IN_DOUBT: it may have executed, and its
-     * key's window is over. OVER_KEYS: no further key can be remembered. OVER_OPEN_COMMANDS: its connection has too
-     * many unanswered commands, or too large ones.
+     * Why a request was rejected or failed. Protocols with error numbers have a separate number for each reason.
+     *
+     * <p>NO_PRIMARY: the failover of the request's group takes longer than the request can wait. KEY_IN_DOUBT: the
+     * request may have executed, and its key window is over. OVER_KEYS: the limit on remembered idempotency keys is
+     * reached. OVER_OPEN_COMMANDS: the connection has too many unanswered commands, or too large ones.
      */
     enum Reason {
         GIVEN_UP,
@@ -21,12 +22,12 @@
         OVER_OPEN_COMMANDS
     }
 
-    /** Served with the value that a database returned (null is SQL's NULL), and the position that it reported. */
+    /** Served: a database's value (null for SQL's NULL) and the log position that the database reported. */
     record Served(byte[] value, boolean write, long position) implements Reply {}
 
-    /** Rejected: a retry is harmless; {@code retryAfter} in microseconds, 0 where absent. */
+    /** Rejected: the request is safe to retry; {@code retryAfter} is in microseconds, 0 if absent. */
     record Rejected(Reason reason, long retryAfter) implements Reply {}
 
-    /** Failed: it may or may not have had an effect. */
+    /** Failed: the request may or may not have had an effect. */
     record Failed(Reason reason) implements Reply {}
 }
--- a/src/main/java/crankwick/broker/RequestHistory.java
+++ b/src/main/java/crankwick/broker/RequestHistory.java
@@ -4,11 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The state transitions of one request, for a line in the log. Times are microseconds of Unix time. */
+/** Records the state transitions of one request for its log line. Times are in microseconds since the Unix epoch. */
 final class RequestHistory {
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** One attempt; 0 stands for a transition that has not happened. */
+    /** One attempt; a time of 0 means that the transition has not happened. */
     private static final class Attempt {
         final String endpointId;
         final long sentAt;
@@ -29,7 +29,7 @@
     private AbandonReason abandonReason;
     private long abandonedAt;
     private Reply reply;
-    private long answeredAt;
+    private long repliedAt;
 
     RequestHistory(ClientRequest request, long receivedAt) {
         clientRequestId = request.clientRequestId();
@@ -37,40 +37,40 @@
         this.receivedAt = receivedAt;
     }
 
-    void sent(String endpointId, long now) {
+    void recordSent(String endpointId, long now) {
         attempts.add(new Attempt(endpointId, now));
     }
 
-    void written(long now) {
-        last().writtenAt = now;
+    void recordWritten(long now) {
+        lastAttempt().writtenAt = now;
     }
 
-    void ended(AttemptResult result, long now) {
-        last().result = result;
-        last().endedAt = now;
+    void recordEnded(AttemptResult result, long now) {
+        lastAttempt().result = result;
+        lastAttempt().endedAt = now;
     }
 
-    void abandoned(AbandonReason reason, long now) {
+    void recordAbandoned(AbandonReason reason, long now) {
         abandonReason = reason;
         abandonedAt = now;
     }
 
-    void answered(Reply finalReply, long now) {
+    void recordReply(Reply finalReply, long now) {
         reply = finalReply;
-        answeredAt = now;
+        repliedAt = now;
     }
 
-    private Attempt last() {
+    private Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
     /** False for a request that was served by its first attempt. */
-    boolean isNotable() {
+    boolean shouldLog() {
         return attempts.size() > 1 || !(reply instanceof Reply.Served);
     }
 
-    /** All transitions, in milliseconds since the request was received. */
-    String line() {
+    /** Formats all transitions, with times in milliseconds since the request was received. */
+    String toLogLine() {
         StringBuilder line =
                 new StringBuilder("request id=").append(clientRequestId).append(" class=");
         line.append(classIndex);
@@ -78,16 +78,16 @@
             line.append(" client=").append(abandonReason).append('@').append(millisSinceReceived(abandonedAt));
         }
         if (reply != null) {
-            line.append(" answer=").append(name(reply)).append('@').append(millisSinceReceived(answeredAt));
+            line.append(" answer=").append(nameOf(reply)).append('@').append(millisSinceReceived(repliedAt));
         }
         line.append(" attempts=").append(attempts.size());
         for (Attempt attempt : attempts) {
-            append(line, attempt);
+            appendAttempt(line, attempt);
         }
         return line.toString();
     }
 
-    private void append(StringBuilder line, Attempt attempt) {
+    private void appendAttempt(StringBuilder line, Attempt attempt) {
         line.append(" [").append(attempt.endpointId).append(" sent@").append(millisSinceReceived(attempt.sentAt));
         if (attempt.writtenAt > 0) {
             line.append(" written@").append(millisSinceReceived(attempt.writtenAt));
@@ -102,7 +102,7 @@
         return (time - receivedAt) / MICROS_PER_MILLI;
     }
 
-    private static String name(Reply reply) {
+    private static String nameOf(Reply reply) {
         if (reply instanceof Reply.Rejected rejected) {
             return "rejected:" + rejected.reason();
         }
--- a/src/main/java/crankwick/broker/RequestHistoryLog.java
+++ b/src/main/java/crankwick/broker/RequestHistoryLog.java
@@ -1,30 +1,30 @@
 package crankwick.broker;
 
-/** Logs the histories of notable requests at a limited rate; counts those that it omits. */
+/** Limits the rate at which request histories are logged, and counts the omitted ones. */
 final class RequestHistoryLog {
     private static final long WINDOW_MICROS = 1_000_000;
-    private static final int LINES_PER_WINDOW = 20;
+    private static final int MAX_LINES_PER_WINDOW = 20;
 
     private long windowStart;
-    private int lines;
-    private long omitted;
+    private int linesInWindow;
+    private long omittedLines;
 
-    /** The line for a finished request; null where there is none. */
-    String lineFor(RequestHistory history, long now) {
-        if (!history.isNotable()) {
+    /** The log line for a finished request; null if the request need not be logged or the rate limit is exceeded. */
+    String logLineFor(RequestHistory history, long now) {
+        if (!history.shouldLog()) {
             return null;
         }
         if (now - windowStart >= WINDOW_MICROS) {
             windowStart = now;
-            lines = 0;
+            linesInWindow = 0;
         }
-        if (lines >= LINES_PER_WINDOW) {
-            omitted++;
+        if (linesInWindow >= MAX_LINES_PER_WINDOW) {
+            omittedLines++;
             return null;
         }
-        lines++;
-        String line = omitted == 0 ? history.line() : history.line() + " omitted_before=" + omitted;
-        omitted = 0;
+        linesInWindow++;
+        String line = omittedLines == 0 ? history.toLogLine() : history.toLogLine() + " omitted_before=" + omittedLines;
+        omittedLines = 0;
         return line;
     }
 }
--- a/src/main/java/crankwick/broker/RequestLifecycle.java
+++ b/src/main/java/crankwick/broker/RequestLifecycle.java
@@ -7,24 +7,24 @@
 import crankwick.routing.api.RoutingRequest;
 import java.util.List;
 
-/** Receives, answers and finishes requests. */
+/** Receives requests, replies to them and removes them when they are finished. */
 final class RequestLifecycle {
-    private final Reduction reduction;
+    private final ReductionContext context;
     private final List<RequestClass> requestClasses;
     private final AdmissionController admission;
     private final ActiveRequests requests;
-    private final FailoverGate failover;
+    private final FailoverDelegate failover;
     private final BrokerCounters counters;
     private final RequestHistoryLog historyLog = new RequestHistoryLog();
 
     RequestLifecycle(
-            Reduction reduction,
+            ReductionContext context,
             List<RequestClass> requestClasses,
             AdmissionController admission,
             ActiveRequests requests,
-            FailoverGate failover,
+            FailoverDelegate failover,
             BrokerCounters counters) {
-        this.reduction = reduction;
+        this.context = context;
         this.requestClasses = requestClasses;
         this.admission = admission;
         this.requests = requests;
@@ -32,35 +32,35 @@
         this.counters = counters;
     }
 
-    /** Admits a request by its team's contract and its group's state, or answers it at once. */
+    /** Admits a request if its team's contract and its group's failover state permit it, or replies at once. */
     void receive(ClientRequest request) {
         counters.countReceived();
         boolean idInUse = requests.isClientRequestIdInUse(request.clientRequestId());
-        AdmissionDecision decision = admission.decide(request, idInUse, reduction.now());
+        AdmissionDecision decision = admission.decide(request, idInUse, context.now());
         if (decision instanceof AdmissionDecision.Denied denied) {
-            reply(request.requestId(), denied.reply());
+            emitReply(request.requestId(), denied.reply());
         } else if (decision instanceof AdmissionDecision.Admitted admitted) {
             accept(request, admitted);
         }
     }
 
     private void accept(ClientRequest request, AdmissionDecision.Admitted admitted) {
-        long now = reduction.now();
+        long now = context.now();
         long expiresAt = now + admitted.timeout();
         FailoverAdmission failoverAdmission = failover.admit(request, expiresAt, now);
         if (failoverAdmission == FailoverAdmission.REJECT) {
-            reply(request.requestId(), failover.noPrimary(request, now));
+            emitReply(request.requestId(), failover.noPrimaryReply(request, now));
             return;
         }
         if (failoverAdmission == FailoverAdmission.FAIL) {
-            reply(request.requestId(), new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
+            emitReply(request.requestId(), new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
             return;
         }
         RequestClass requestClass = requestClasses.get(request.classIndex());
         ActiveRequest active = new ActiveRequest(request, requestClass, admitted.budget(), expiresAt, now);
         requests.add(active);
         BrokerEvent deadline = new BrokerEvent.DeadlineReached(request.requestId());
-        reduction.emit(new Effect.ScheduleTimer(admitted.timeout(), deadline));
+        context.emit(new Effect.ScheduleTimer(admitted.timeout(), deadline));
         if (failoverAdmission == FailoverAdmission.BUFFER) {
             active.buffer();
         } else {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** A buffered request goes to the router. */
+    /** Passes a buffered request to the router. */
     void release(ActiveRequest active) {
         active.release();
         route(active);
@@ -78,8 +78,8 @@
         ClientRequest request = active.request();
         long tokenAge = request.requiredPosition() == AbsentValue.NONE
                 ? AbsentValue.NONE
-                : Math.max(1, reduction.now() - request.requiredPosition());
-        reduction.addRoutingEvent(new RoutingRequest(
+                : Math.max(1, context.now() - request.requiredPosition());
+        context.addRoutingEvent(new RoutingRequest(
                 request.requestId(),
                 request.classIndex(),
                 request.groupId(),
@@ -88,35 +88,35 @@
                 active.expiresAt()));
     }
 
-    /** Gives a request its final answer, unless it has one. */
-    void answer(ActiveRequest active, Reply reply) {
+    /** Sends the final reply unless the request is already completed. */
+    void reply(ActiveRequest active, Reply reply) {
         if (!active.isCompleted()) {
             complete(active);
-            active.history().answered(reply, reduction.now());
-            reply(active.id(), reply);
+            active.history().recordReply(reply, context.now());
+            emitReply(active.id(), reply);
         }
     }
 
-    /** Gives a request its final answer; the router is not to work on it any more. */
-    void answerAndAbandon(ActiveRequest active, Reply reply) {
-        answer(active, reply);
-        reduction.addRoutingEvent(new RequestAbandoned(active.id()));
+    /** Sends the final reply unless the request is already completed, and makes the router abandon the request. */
+    void replyAndAbandon(ActiveRequest active, Reply reply) {
+        reply(active, reply);
+        context.addRoutingEvent(new RequestAbandoned(active.id()));
         removeIfFinished(active);
     }
 
-    /** The caller has left; what has begun goes on. */
+    /** Handles a request that its client has abandoned; an attempt that has begun continues. */
     void abandon(BrokerEvent.RequestAbandoned event) {
         ActiveRequest active = requests.find(event.requestId());
         if (active == null || active.isCompleted()) {
             return;
         }
         counters.count(event.reason());
-        active.history().abandoned(event.reason(), reduction.now());
+        active.history().recordAbandoned(event.reason(), context.now());
         complete(active);
         if (active.isAttemptQueued()) {
-            reduction.emit(new Effect.CancelQueuedAttempt(active.id()));
+            context.emit(new Effect.CancelQueuedAttempt(active.id()));
         }
-        reduction.addRoutingEvent(new RequestAbandoned(active.id()));
+        context.addRoutingEvent(new RequestAbandoned(active.id()));
         removeIfFinished(active);
     }
 
@@ -125,17 +125,17 @@
         failover.onCompleted(active.id());
     }
 
-    private void reply(long requestId, Reply reply) {
+    private void emitReply(long requestId, Reply reply) {
         counters.count(reply);
-        reduction.emit(new Effect.SendReply(requestId, reply));
+        context.emit(new Effect.SendReply(requestId, reply));
     }
 
-    /** Forgets a request that is answered and has no attempt in flight. */
+    /** Removes a request that is completed and has no attempt in flight, and logs its history. */
     void removeIfFinished(ActiveRequest active) {
         if (active.isFinished() && requests.remove(active)) {
-            String line = historyLog.lineFor(active.history(), reduction.now());
+            String line = historyLog.logLineFor(active.history(), context.now());
             if (line != null) {
-                reduction.emit(new Effect.Log(line));
+                context.emit(new Effect.Log(line));
             }
         }
     }
--- a/src/main/java/crankwick/broker/RouterActionHandler.java
+++ b/src/main/java/crankwick/broker/RouterActionHandler.java
@@ -3,23 +3,23 @@
 import crankwick.routing.api.AttemptResult;
 import crankwick.routing.api.RoutingActions;
 
-/** Turns the router's actions into effects; an action on a request that is finished is dropped. */
+/** Turns the router's actions into effects; actions on finished requests are ignored. */
 final class RouterActionHandler implements RoutingActions {
-    private final Reduction reduction;
+    private final ReductionContext context;
     private final ActiveRequests requests;
     private final RequestLifecycle lifecycle;
     private final AttemptController attempts;
-    private final FailoverGate failover;
+    private final FailoverDelegate failover;
     private final BrokerCounters counters;
 
     RouterActionHandler(
-            Reduction reduction,
+            ReductionContext context,
             ActiveRequests requests,
             RequestLifecycle lifecycle,
             AttemptController attempts,
-            FailoverGate failover,
+            FailoverDelegate failover,
             BrokerCounters counters) {
-        this.reduction = reduction;
+        this.context = context;
         this.requests = requests;
         this.lifecycle = lifecycle;
         this.attempts = attempts;
@@ -35,10 +35,13 @@
         }
     }
 
-    /** The router knows one request only; what it rejects as harmless may have executed by another. */
+    /**
+     * Rejects a request, or fails it if any request with the same key may have executed. The router considers each
+     * request separately, so it may reject a request as safe to retry although another one has executed.
+     */
     @Override
     public void reject(long requestId, long retryAfter) {
-        answer(
+        reply(
                 requestId,
                 failover.hasUnknownOutcome(requestId)
                         ? new Reply.Failed(Reply.Reason.KEY_IN_DOUBT)
@@ -47,13 +50,13 @@
 
     @Override
     public void fail(long requestId) {
-        answer(requestId, new Reply.Failed(Reply.Reason.GIVEN_UP));
+        reply(requestId, new Reply.Failed(Reply.Reason.GIVEN_UP));
     }
 
-    private void answer(long requestId, Reply reply) {
+    private void reply(long requestId, Reply reply) {
         ActiveRequest request = requests.find(requestId);
         if (request != null) {
-            lifecycle.answer(request, reply);
+            lifecycle.reply(request, reply);
             lifecycle.removeIfFinished(request);
         }
     }
@@ -61,7 +64,7 @@
     @Override
     public void cancelAttempt(long requestId, int attempt) {
         ActiveRequest request = requests.find(requestId);
-        if (request != null && request.isInFlight(attempt)) {
+        if (request != null && request.isAttemptInFlight(attempt)) {
             attempts.cancel(request, AttemptResult.CANCELLED);
         }
     }
@@ -69,26 +72,26 @@
     @Override
     public void checkHealth(String endpointId) {
         counters.countHealthCheck();
-        reduction.emit(new Effect.CheckHealth(endpointId));
+        context.emit(new Effect.CheckHealth(endpointId));
     }
 
     @Override
     public void scheduleTimer(long delay, long timerId) {
-        reduction.emit(new Effect.ScheduleTimer(delay, new BrokerEvent.RoutingTimerFired(timerId)));
+        context.emit(new Effect.ScheduleTimer(delay, new BrokerEvent.RoutingTimerFired(timerId)));
     }
 
     @Override
     public void watchEndpoints() {
-        // Discovery watches the endpoint list by itself from its start on.
+        // Discovery watches the endpoint list from its start, without a request.
     }
 
     @Override
     public void fetchEndpoints() {
-        // Nor does it need to be asked for the complete list.
+        // Discovery fetches the complete list without a request.
     }
 
     @Override
     public void log(String line) {
-        reduction.emit(new Effect.Log(line));
+        context.emit(new Effect.Log(line));
     }
 }
--- a/src/main/java/crankwick/broker/RoutingDriver.java
+++ b/src/main/java/crankwick/broker/RoutingDriver.java
@@ -4,21 +4,21 @@
 import crankwick.routing.api.RoutingActions;
 import crankwick.routing.api.RoutingEvent;
 
-/** Has the router handle the events that a reduction has for it, and those that follow from its actions. */
+/** Passes the pending routing events of a reduction to the router, including those that its actions add. */
 final class RoutingDriver {
-    private final Reduction reduction;
+    private final ReductionContext context;
     private final Router router;
     private final RoutingActions actions;
 
-    RoutingDriver(Reduction reduction, Router router, RoutingActions actions) {
-        this.reduction = reduction;
+    RoutingDriver(ReductionContext context, Router router, RoutingActions actions) {
+        this.context = context;
         this.router = router;
         this.actions = actions;
     }
 
-    void run() {
-        for (RoutingEvent event = reduction.pollRoutingEvent(); event != null; event = reduction.pollRoutingEvent()) {
-            router.handle(reduction.now(), event, actions);
+    void processPendingEvents() {
+        for (RoutingEvent event = context.pollRoutingEvent(); event != null; event = context.pollRoutingEvent()) {
+            router.handle(context.now(), event, actions);
         }
     }
 }
--- a/src/main/java/crankwick/broker/TeamBudget.java
+++ b/src/main/java/crankwick/broker/TeamBudget.java
@@ -1,6 +1,6 @@
 package crankwick.broker;
 
-/** What a team has used of its contract: a token bucket for its rate, and its outstanding requests. */
+/** A team's use of its contract: a token bucket for the request rate, and the number of outstanding requests. */
 final class TeamBudget {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -9,7 +9,7 @@
     private long refilledAt;
     private int outstanding;
 
-    /** Begins with a full bucket. */
+    /** Creates a budget with a full token bucket. */
     TeamBudget(Contract contract, long now) {
         this.contract = contract;
         tokens = bucketSize();
@@ -20,11 +20,11 @@
         return Math.max(1, contract.ratePerSecond());
     }
 
-    boolean isOutstandingExhausted() {
+    boolean isOutstandingLimitReached() {
         return contract.maxOutstanding() > 0 && outstanding >= contract.maxOutstanding();
     }
 
-    /** Takes a token; false if none is left. A contract without a rate needs none. */
+    /** Takes a token; false if none is available. Always true if the contract has no rate limit. */
     boolean tryAcquireToken(long now) {
         double rate = contract.ratePerSecond();
         if (rate > 0) {
@@ -38,17 +38,17 @@
         return true;
     }
 
-    /** How long it takes until a token is left, in microseconds, after one was refused. */
-    long timeUntilToken() {
+    /** The time until the next token is available, in microseconds; call only after a token was refused. */
+    long timeUntilNextToken() {
         return (long) Math.ceil((1 - tokens) * MICROS_PER_SECOND / contract.ratePerSecond());
     }
 
-    /** A request is taken in. */
+    /** Counts an admitted request as outstanding. */
     void acquireOutstanding() {
         outstanding++;
     }
 
-    /** A request has been answered, or its caller has left. */
+    /** Stops counting a request as outstanding, once it has been replied to or abandoned. */
     void releaseOutstanding() {
         outstanding--;
     }
--- a/src/main/java/crankwick/broker/package-info.java
+++ b/src/main/java/crankwick/broker/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The reducer for the state of requests: (event, now) in, effects out. It keeps a request to one attempt in flight and
- * one answer, and leaves to the router where attempts are sent and whether they are retried.
+ * The reducer of request state, which turns an event and the current time into effects. It limits each request to one
+ * attempt in flight and one reply; the router decides where attempts are sent and whether requests are retried.
  */
 package crankwick.broker;
--- a/src/test/java/crankwick/broker/ActiveRequestTest.java
+++ b/src/test/java/crankwick/broker/ActiveRequestTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The transitions of one request's state. */
+/** State transitions of a single request. */
 public class ActiveRequestTest {
     private static final long START = 1_000_000_000;
     private static final long KEY_TTL = 400_000;
@@ -32,12 +32,12 @@
     }
 
     private void beginAttempt(long now) {
-        request.nextAttempt();
+        request.nextAttemptNumber();
         request.beginAttempt("a", now);
     }
 
     @Test
-    public void oneAttemptIsInFlightAtMost() {
+    public void atMostOneAttemptIsInFlight() {
         assertTrue(request.mayBeginAttempt(START));
         beginAttempt(START);
         assertTrue(request.isAttemptQueued());
@@ -55,15 +55,15 @@
         beginAttempt(START);
         request.endAttempt(AttemptResult.REJECTED_OVERLOADED, START);
         beginAttempt(START);
-        assertFalse(request.isInFlight(0));
-        assertTrue(request.isInFlight(1));
+        assertFalse(request.isAttemptInFlight(0));
+        assertTrue(request.isAttemptInFlight(1));
     }
 
     @Test
-    public void completionReturnsTheBudgetAndForbidsAttempts() {
-        assertTrue(budget.isOutstandingExhausted());
+    public void completionReleasesTheBudgetAndPreventsFurtherAttempts() {
+        assertTrue(budget.isOutstandingLimitReached());
         request.complete();
-        assertFalse(budget.isOutstandingExhausted());
+        assertFalse(budget.isOutstandingLimitReached());
         assertFalse(request.mayBeginAttempt(START));
         assertTrue(request.isFinished());
     }
--- a/src/test/java/crankwick/broker/AdmissionControllerTest.java
+++ b/src/test/java/crankwick/broker/AdmissionControllerTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** Which requests a team's contract admits. */
+/** Admission of requests by their teams' contracts. */
 public class AdmissionControllerTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long START = 1_000 * MICROS_PER_SECOND;
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void contractWithoutLimitsAdmitsAll() {
+    public void contractWithoutLimitsAdmitsAllRequests() {
         AdmissionController admission = controller(Contract.UNLIMITED);
         for (int i = 0; i < 1_000; i++) {
             AdmissionDecision.Admitted admitted = (AdmissionDecision.Admitted) decide(admission, START);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void identifierInUseFailsAndCostsNoToken() {
+    public void requestWhoseIdIsInUseFailsWithoutTakingAToken() {
         AdmissionController admission = controller(new Contract(Set.of(), 1, 0, 0));
         assertEquals(
                 denial(admission.decide(request(MICROS_PER_SECOND), true, START)),
@@ -55,13 +55,13 @@
     }
 
     @Test
-    public void classOutsideTheContractFails() {
+    public void requestOfAClassOutsideTheContractFails() {
         AdmissionController admission = controller(new Contract(Set.of(5), 0, 0, 0));
         assertEquals(denial(decide(admission, START)), new Reply.Failed(Reply.Reason.CLASS_NOT_ALLOWED));
     }
 
     @Test
-    public void rateIsRejectedUntilATokenIsRefilled() {
+    public void requestsOverTheRateAreRejectedUntilATokenIsRefilled() {
         AdmissionController admission = controller(new Contract(Set.of(), 2, 0, 0));
         assertTrue(decide(admission, START) instanceof AdmissionDecision.Admitted);
         assertTrue(decide(admission, START) instanceof AdmissionDecision.Admitted);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void outstandingRequestsAreLimitedUntilOneIsReleased() {
+    public void requestsOverTheOutstandingLimitAreRejectedUntilOneIsReleased() {
         AdmissionController admission = controller(new Contract(Set.of(), 0, 1, 0));
         AdmissionDecision.Admitted admitted = (AdmissionDecision.Admitted) decide(admission, START);
         admitted.budget().acquireOutstanding();
--- a/src/test/java/crankwick/broker/BrokerDeadlineTest.java
+++ b/src/test/java/crankwick/broker/BrokerDeadlineTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A write at its deadline, and near the end of its key's window, in simulated time. */
+/** A write at its deadline and near the end of its key window, in simulated time. */
 public class BrokerDeadlineTest {
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long START = 1_000_000_000;
@@ -78,9 +78,9 @@
         return effects.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** The command may be on its way without the broker's knowledge: no rejection would be harmless. */
+    /** The attempt may have begun without the broker's knowledge, so a rejection could cause a duplicate write. */
     @Test
-    public void writeThatMayHaveBegunIsNotRejectedAtItsDeadline() {
+    public void writeThatMayHaveBegunFailsAtItsDeadline() {
         reduce(START + TIMEOUT, new BrokerEvent.DeadlineReached(REQUEST_ID));
         assertEquals(effectsOf(Effect.CancelQueuedAttempt.class).size(), 1);
         assertEquals(replies(), List.of());
@@ -100,19 +100,19 @@
     }
 
     @Test
-    public void firstAttemptMayBeginUntilItsDeadline() {
+    public void firstAttemptMayBeginUntilTheDeadline() {
         assertEquals(sentAttempts().get(0).startDeadline(), START + TIMEOUT);
     }
 
     @Test
-    public void retryMayBeginOnlyWithinItsKeysWindow() {
+    public void retryMayBeginOnlyWithinTheKeyWindow() {
         endAttempt(START + 100 * MICROS_PER_MILLI, AttemptResult.RESET);
         assertEquals(sentAttempts().size(), 2);
         assertEquals(sentAttempts().get(1).startDeadline(), START + KEY_TTL);
     }
 
     @Test
-    public void retryOfWhatNeverExecutedMayBeginUntilItsDeadline() {
+    public void retryOfAWriteThatNeverExecutedMayBeginUntilTheDeadline() {
         endAttempt(START + 100 * MICROS_PER_MILLI, AttemptResult.REJECTED_OVERLOADED);
         assertEquals(sentAttempts().size(), 2);
         assertEquals(sentAttempts().get(1).startDeadline(), START + TIMEOUT);
--- a/src/test/java/crankwick/broker/BrokerFailoverTest.java
+++ b/src/test/java/crankwick/broker/BrokerFailoverTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Single requests through a failover, in simulated time; one group of a, b and c, led by a. */
+/** Single requests during a failover, in simulated time; one group with the primary a and the replicas b and c. */
 public class BrokerFailoverTest {
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long KEY_TTL = 2_000 * MICROS_PER_MILLI;
@@ -40,7 +40,7 @@
     private long lastRequestId;
 
     @BeforeMethod
-    public void createGroupLedByA() {
+    public void createGroupWithPrimaryA() {
         timers.clear();
         sentAttempts.clear();
         replies.clear();
@@ -68,7 +68,7 @@
             if (effect instanceof Effect.SendAttempt e) {
                 sentAttempts.add(e);
             } else if (effect instanceof Effect.SendReply e) {
-                assertNull(replies.put(e.requestId(), e.reply()), "a second answer");
+                assertNull(replies.put(e.requestId(), e.reply()), "second reply to a request");
                 repliedAt.put(e.requestId(), now);
             } else if (effect instanceof Effect.ScheduleTimer e) {
                 timers.add(new ScheduledEvent(now + e.delay(), timers.size() + now, e.event()));
@@ -136,16 +136,16 @@
                 : replies.get(requestId) instanceof Reply.Failed f ? f.reason() : replies.get(requestId);
     }
 
-    /** a refuses connections from now on. */
-    private void failA() {
+    /** Starts a failover: an attempt finds that database a refuses connections. */
+    private void startFailoverOfA() {
         long first = write("first", 3_000 * MICROS_PER_MILLI);
         endAttempt(first, AttemptResult.UNREACHABLE, Role.UNKNOWN);
         advance(MICROS_PER_MILLI);
     }
 
     @Test
-    public void requestThatCannotBeServedInTimeIsRejectedAtOnceWithRetryAfter() {
-        failA();
+    public void requestThatCannotBeServedBeforeItsDeadlineIsRejectedAtOnceWithRetryAfter() {
+        startFailoverOfA();
         long rejected = write("k", 1_000 * MICROS_PER_MILLI);
         assertEquals(reasonOf(rejected), Reply.Reason.NO_PRIMARY);
         assertTrue(((Reply.Rejected) replies.get(rejected)).retryAfter() > 0);
@@ -154,8 +154,8 @@
     }
 
     @Test
-    public void requestWithTimeIsBufferedAndServedByTheNewLeader() {
-        failA();
+    public void requestWithSufficientTimeIsBufferedAndServedByTheNewLeader() {
+        startFailoverOfA();
         advance(2_500 * MICROS_PER_MILLI);
         List<Long> buffered = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -168,13 +168,13 @@
         advance(1_500 * MICROS_PER_MILLI);
         report("b", Role.PRIMARY);
         assertEquals(broker.failoverCoordinator().leadership(1).leader(), "b");
-        int most = 0;
+        int maxInFlight = 0;
         for (int i = 0; i < 200 && replies.size() < 21; i++) {
-            List<Effect.SendAttempt> out = sentAttempts.stream()
+            List<Effect.SendAttempt> inFlight = sentAttempts.stream()
                     .filter(s -> !replies.containsKey(s.requestId()))
                     .toList();
-            most = Math.max(most, out.size());
-            out.stream()
+            maxInFlight = Math.max(maxInFlight, inFlight.size());
+            inFlight.stream()
                     .filter(s -> buffered.contains(s.requestId()))
                     .findFirst()
                     .ifPresent(s -> endAttempt(s.requestId(), AttemptResult.OK, Role.PRIMARY));
@@ -191,17 +191,17 @@
     }
 
     @Test
-    public void keyWhoseWindowEndsWhileWaitingFailsAtOnceAndIsNotSentAgain() {
+    public void requestWhoseKeyWindowWouldEndWhileBufferedFailsAtOnceAndIsNotSentAgain() {
         long first = write("k", 3_000 * MICROS_PER_MILLI);
         advance(50 * MICROS_PER_MILLI);
         endAttempt(first, AttemptResult.RESET, Role.UNKNOWN);
-        assertEquals(attemptsOf(first), 2, "a lost connection alone is no failover");
+        assertEquals(attemptsOf(first), 2, "a lost connection alone does not start a failover");
         endAttempt(first, AttemptResult.UNREACHABLE, Role.UNKNOWN);
         advance(500 * MICROS_PER_MILLI);
         int before = sentAttempts.size();
         advance(3_000 * MICROS_PER_MILLI);
         assertEquals(reasonOf(first), Reply.Reason.KEY_IN_DOUBT);
-        assertTrue(repliedAt.get(first) < 1_000_000_000 + KEY_TTL, "not at its deadline");
+        assertTrue(repliedAt.get(first) < 1_000_000_000 + KEY_TTL, "failed before the end of its key window");
         report("b", Role.PRIMARY);
         advance(100 * MICROS_PER_MILLI);
         assertTrue(sentAttempts.subList(before, sentAttempts.size()).stream().noneMatch(s -> s.requestId() == first));
@@ -215,32 +215,32 @@
         advance(2_500 * MICROS_PER_MILLI);
         reduce(new BrokerEvent.RequestAbandoned(first, AbandonReason.CLOSED));
         long retry = write("k", 3_000 * MICROS_PER_MILLI);
-        assertEquals(reasonOf(retry), Reply.Reason.KEY_IN_DOUBT, "the window began with the first attempt");
+        assertEquals(reasonOf(retry), Reply.Reason.KEY_IN_DOUBT, "the key window starts with the first attempt");
         assertEquals(attemptsOf(retry), 0);
         advance(6_000 * MICROS_PER_MILLI);
         report("a", Role.PRIMARY);
         long later = write("k", 3_000 * MICROS_PER_MILLI);
         advance(200 * MICROS_PER_MILLI);
-        assertEquals(attemptsOf(later), 1, "the key is remembered for a limited time");
+        assertEquals(attemptsOf(later), 1, "the key is no longer remembered");
     }
 
-    /** The key may have executed by the earlier request, so a rejection would state what is not known. */
+    /** The earlier request may have executed, and a rejection would wrongly report that the key has not. */
     @Test
-    public void retryOfAKeyWithUnknownOutcomeIsNeverRejectedAsHarmless() {
+    public void retryOfAKeyWithUnknownOutcomeFailsInsteadOfBeingRejected() {
         long first = write("k", 3_000 * MICROS_PER_MILLI);
         reduce(new BrokerEvent.AttemptWritten(first, 0));
         advance(100 * MICROS_PER_MILLI);
         reduce(new BrokerEvent.RequestAbandoned(first, AbandonReason.CLOSED));
-        failA();
+        startFailoverOfA();
         long rejected = write("k", 1_000 * MICROS_PER_MILLI);
         assertEquals(reasonOf(rejected), Reply.Reason.KEY_IN_DOUBT);
         long other = write("other", 1_000 * MICROS_PER_MILLI);
         assertEquals(reasonOf(other), Reply.Reason.NO_PRIMARY);
     }
 
-    /** The router knows one request only; what it rejects may have executed by another. */
+    /** The router does not know that an earlier request with the same key may have executed. */
     @Test
-    public void routerRejectionOfAKeyWithUnknownOutcomeIsAFailure() {
+    public void routerRejectionOfAKeyWithUnknownOutcomeBecomesAFailure() {
         long first = write("k", 3_000 * MICROS_PER_MILLI);
         reduce(new BrokerEvent.AttemptWritten(first, 0));
         advance(50 * MICROS_PER_MILLI);
@@ -254,9 +254,9 @@
         assertTrue(replies.get(retry) instanceof Reply.Failed, replies.toString());
     }
 
-    /** A hung primary's attempt is cancelled once another leads; its late result changes nothing. */
+    /** An attempt at a hung primary is cancelled once there is a new primary; its late result must be ignored. */
     @Test
-    public void resultAfterTheCancellationIsIgnored() {
+    public void resultOfACancelledAttemptIsIgnored() {
         long write = write("k", 3_000 * MICROS_PER_MILLI);
         assertEquals(attemptsOf(write), 1);
         reduce(new BrokerEvent.AttemptWritten(write, 0));
@@ -267,7 +267,7 @@
         reportedRoles.put("b", Role.PRIMARY);
         report("b", Role.PRIMARY);
         advance(100 * MICROS_PER_MILLI);
-        assertEquals(attemptsOf(write), 2, "retried within its window");
+        assertEquals(attemptsOf(write), 2, "retried within its key window");
         assertEquals(sentAttempts.get(sentAttempts.size() - 1).endpointId(), "b");
         reduce(new BrokerEvent.AttemptEnded(
                 write, 0, AttemptResult.OK, MICROS_PER_MILLI, Role.PRIMARY, now, null, new byte[1]));
@@ -277,7 +277,7 @@
     }
 
     @Test
-    public void outdatedListEntryNamesNoLeader() {
+    public void outdatedListEntryDoesNotChangeTheLeader() {
         reduce(new BrokerEvent.EndpointsUpdated(
                 EndpointUpdateKind.INCREMENTAL, List.of(endpoint("a", Role.PRIMARY, EndpointStatus.DRAINING))));
         advance(10 * MICROS_PER_MILLI);
@@ -291,8 +291,8 @@
     }
 
     @Test
-    public void abandonedRequestLeavesTheBuffer() {
-        failA();
+    public void abandonedRequestIsRemovedFromTheBuffer() {
+        startFailoverOfA();
         advance(2_500 * MICROS_PER_MILLI);
         write("scout", 3_000 * MICROS_PER_MILLI);
         int before = broker.failoverCoordinator().bufferedRequests();
