--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -114,7 +114,7 @@
             runner.attachExecutors(listener, pool);
             onEndpointsUpdated(known);
             discovery.start();
-            loop.after(COUNTERS_INTERVAL_MICROS, this::logCounters);
+            loop.schedule(COUNTERS_INTERVAL_MICROS, this::logCounters);
         });
         listener.listen(transport, listen);
     }
@@ -123,7 +123,7 @@
     void onEndpointsUpdated(Discovery.ListUpdate update) {
         runner.updateEndpoints(update);
         if (!update.discovered().isEmpty()) {
-            listener.ready();
+            listener.markReady();
         }
     }
 
@@ -156,8 +156,8 @@
                 protocol.name(),
                 broker.outstandingRequests(),
                 allCounters()));
-        loop.after(Math.min(ACCEPT_AFTER_SIGTERM_MICROS, shutdownTimeoutMicros() / 2), () -> {
-            listener.close(shutdownDeadline - LAST_REPLIES_BEFORE_END_MICROS);
+        loop.schedule(Math.min(ACCEPT_AFTER_SIGTERM_MICROS, shutdownTimeoutMicros() / 2), () -> {
+            listener.beginShutdown(shutdownDeadline - LAST_REPLIES_BEFORE_END_MICROS);
             awaitDrained(shutdownDeadline);
         });
     }
@@ -188,12 +188,12 @@
             lastCounters = counters;
             LOG.info("{} counted so far: {}", protocol.name(), counters);
         }
-        loop.after(COUNTERS_INTERVAL_MICROS, this::logCounters);
+        loop.schedule(COUNTERS_INTERVAL_MICROS, this::logCounters);
     }
 
     private void awaitDrained(long shutdownDeadline) {
-        if (listener.isEmpty() && broker.outstandingRequests() == 0 || clock.now() > shutdownDeadline) {
-            if (broker.outstandingRequests() > 0 || !listener.isEmpty()) {
+        if (listener.hasNoConnections() && broker.outstandingRequests() == 0 || clock.now() > shutdownDeadline) {
+            if (broker.outstandingRequests() > 0 || !listener.hasNoConnections()) {
                 LOG.warn("{} shut down with {} requests unanswered", protocol.name(), broker.outstandingRequests());
             }
             if (discovery != null) {
@@ -201,7 +201,7 @@
             }
             closed.countDown();
         } else {
-            loop.after(SHUTDOWN_CHECK_INTERVAL_MICROS, () -> awaitDrained(shutdownDeadline));
+            loop.schedule(SHUTDOWN_CHECK_INTERVAL_MICROS, () -> awaitDrained(shutdownDeadline));
         }
     }
 }
--- a/src/main/java/crankwick/client/AcceptLimiter.java
+++ b/src/main/java/crankwick/client/AcceptLimiter.java
@@ -36,7 +36,7 @@
     }
 
     /** True once the last connection has ended, also of those that the loop does not know yet. */
-    synchronized boolean isEmpty() {
+    synchronized boolean hasNoConnections() {
         return connections == 0;
     }
 
--- a/src/main/java/crankwick/client/ClientListener.java
+++ b/src/main/java/crankwick/client/ClientListener.java
@@ -83,15 +83,15 @@
     }
 
     /** From now on the empty query is answered, those that wait first. */
-    public void ready() {
-        admission.becomeReady();
+    public void markReady() {
+        admission.markReady();
     }
 
     /** Stops listening; each connection ends once all that came in on it is answered, which is by then. */
-    public void close(long latestMicros) {
+    public void beginShutdown(long latestMicros) {
         writer.beginShutdown();
         admission.limitDeadlines(latestMicros);
-        loop.after(Math.max(0, latestMicros - clock.now()), this::stopReading);
+        loop.schedule(Math.max(0, latestMicros - clock.now()), this::stopReading);
         if (listener != null) {
             listener.closeSilently();
         }
@@ -113,8 +113,8 @@
     }
 
     /** True once the last connection has ended, also of those that the loop does not know yet. */
-    public boolean isEmpty() {
-        return acceptLimiter.isEmpty();
+    public boolean hasNoConnections() {
+        return acceptLimiter.hasNoConnections();
     }
 
     /** Where it listens; a port that was left open has been chosen by now. */
@@ -128,7 +128,7 @@
     }
 
     /** The open command of a request; null once it is answered or abandoned. */
-    public ClientCommand command(long requestId) {
+    public ClientCommand findCommand(long requestId) {
         return requests.find(requestId);
     }
 
--- a/src/main/java/crankwick/client/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -220,7 +220,7 @@
      * {@code whenBusy}.
      */
     void closeUnlessBusy(CodecFilter codec, Runnable whenBusy) {
-        Transport.afterReading(connection, () -> {
+        Transport.afterPendingReads(connection, () -> {
             if (isOwedReply() || !isReadingStopped() && codec.hasIncompleteMessage(connection)) {
                 whenBusy.run();
             } else {
--- a/src/main/java/crankwick/client/CommandAdmission.java
+++ b/src/main/java/crankwick/client/CommandAdmission.java
@@ -49,7 +49,7 @@
     }
 
     /** From now on the empty query is answered; those that wait are answered now. */
-    void becomeReady() {
+    void markReady() {
         ready = true;
         for (ClientSession session : sessions.snapshot()) {
             for (ClientCommand command : session.commands) {
--- a/src/main/java/crankwick/client/IdleSweeper.java
+++ b/src/main/java/crankwick/client/IdleSweeper.java
@@ -34,7 +34,7 @@
 
     /** Sweeps after an interval, and so on. */
     void schedule() {
-        loop.after(SWEEP_INTERVAL_MICROS, this::sweep);
+        loop.schedule(SWEEP_INTERVAL_MICROS, this::sweep);
     }
 
     private void sweep() {
@@ -50,7 +50,7 @@
         if (isOverdue(session, now)) {
             session.connection.terminateSilently();
         } else if (!session.ending && codec.isStalled(session.connection, COMMAND_STALL_TIMEOUT_MICROS)) {
-            codec.ifStillStalled(
+            codec.runIfStillStalled(
                     session.connection, COMMAND_STALL_TIMEOUT_MICROS, () -> loop.execute(() -> endStalled(session)));
         } else if (!session.ending && session.isIdle()) {
             endIfIdleTooLong(session, now, idleTimeout);
--- a/src/main/java/crankwick/client/OrderedReplyWriter.java
+++ b/src/main/java/crankwick/client/OrderedReplyWriter.java
@@ -165,7 +165,7 @@
 
         @Override
         public void completed(WriteResult<ClientReply, SocketAddress> result) {
-            Transport.endSending(session.connection);
+            Transport.shutdownOutput(session.connection);
         }
 
         @Override
--- a/src/main/java/crankwick/database/DatabasePool.java
+++ b/src/main/java/crankwick/database/DatabasePool.java
@@ -59,8 +59,8 @@
         connectTimeoutMicros = settings.connectTimeoutMicros();
         maxIdleMicros = (long) (settings.serverIdleTimeoutMicros() * IDLE_TIMEOUT_FRACTION);
         maxConnections = settings.maxConnections();
-        loop.after(REAP_INTERVAL_MICROS, this::reap);
-        loop.after(STALL_CHECK_INTERVAL_MICROS, this::checkStalledResponses);
+        loop.schedule(REAP_INTERVAL_MICROS, this::reap);
+        loop.schedule(STALL_CHECK_INTERVAL_MICROS, this::checkStalledResponses);
     }
 
     /** The counters of connections to databases, for a line in the log. */
@@ -100,7 +100,7 @@
     /** Asks a database for its load report. */
     public void checkHealth(String endpointId) {
         HealthCheckExchange exchange = new HealthCheckExchange(context, endpointId);
-        context.loop().after(HEALTH_CHECK_TIMEOUT_MICROS, () -> exchange.abort(AttemptResult.TIMEOUT));
+        context.loop().schedule(HEALTH_CHECK_TIMEOUT_MICROS, () -> exchange.abort(AttemptResult.TIMEOUT));
         begin(exchange);
     }
 
@@ -138,14 +138,14 @@
 
     private void reap() {
         hosts.reap(context.clock().now(), maxIdleMicros);
-        context.loop().after(REAP_INTERVAL_MICROS, this::reap);
+        context.loop().schedule(REAP_INTERVAL_MICROS, this::reap);
     }
 
     private void checkStalledResponses() {
         for (PooledConnection connection : List.copyOf(bySocket.values())) {
             connection.checkStalledResponse();
         }
-        context.loop().after(STALL_CHECK_INTERVAL_MICROS, this::checkStalledResponses);
+        context.loop().schedule(STALL_CHECK_INTERVAL_MICROS, this::checkStalledResponses);
     }
 
     /** Keeps the books on the connections. */
--- a/src/main/java/crankwick/database/PooledConnection.java
+++ b/src/main/java/crankwick/database/PooledConnection.java
@@ -70,7 +70,7 @@
         this.owner = owner;
         this.exchange = exchange;
         endpointId = exchange.endpointId();
-        connectTimer = context.loop().after(connectTimeoutMicros, this::onConnectTimeout);
+        connectTimer = context.loop().schedule(connectTimeoutMicros, this::onConnectTimeout);
         exchange.carriedBy(this);
     }
 
@@ -99,7 +99,8 @@
         if (socket == null) {
             endUnlessGreeted("connect timeout");
         } else {
-            Transport.afterReading(socket, () -> context.loop().execute(() -> endUnlessGreeted("greeting timeout")));
+            Transport.afterPendingReads(
+                    socket, () -> context.loop().execute(() -> endUnlessGreeted("greeting timeout")));
         }
     }
 
@@ -134,7 +135,7 @@
         var whenWritten = new CommandWrittenHandler(this, next);
         Transport.onSelectorThread(socket, () -> {
             if (next.requiresClientRecheck()) {
-                // From a task on this thread, so behind what has arrived: see Transport.afterReading.
+                // From a task on this thread, so behind what has arrived: see Transport.afterPendingReads.
                 Transport.onSelectorThread(socket, () -> sendUnlessCancelled(next, claim, whenWritten));
             } else {
                 sendUnlessCancelled(next, claim, whenWritten);
@@ -146,7 +147,7 @@
     void startAt(long micros, Exchange next) {
         carry(next);
         sendClaim = new AtomicBoolean();
-        context.loop().after(micros - context.clock().now(), () -> {
+        context.loop().schedule(micros - context.clock().now(), () -> {
             if (!discarded && exchange == next) {
                 start(next);
             }
@@ -167,7 +168,7 @@
             // Ended meanwhile: the connection may carry another exchange by now, and read that one's response.
             return;
         }
-        if (!Transport.isQuiet(socket)) {
+        if (!Transport.isOpenWithoutInput(socket)) {
             context.loop().execute(this::onClosed);
             return;
         }
@@ -177,7 +178,7 @@
             context.counters().countNotSent(decision);
             context.loop().execute(() -> cancelQueuedIfCarried(next));
         } else if (claim.compareAndSet(false, true)) {
-            context.codec().expect(socket, command);
+            context.codec().expectResponse(socket, command);
             socket.write(command, whenWritten);
         }
     }
@@ -246,7 +247,7 @@
     /** Ends the connection if a response that has begun does not end. */
     void checkStalledResponse() {
         if (!discarded && context.codec().isStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS)) {
-            context.codec().ifStillStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS, () -> context.loop()
+            context.codec().runIfStillStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS, () -> context.loop()
                     .execute(this::onResponseStalled));
         }
     }
--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -95,7 +95,7 @@
     private void reread() {
         if (watching) {
             read();
-            loop.after(rereadInterval, this::reread);
+            loop.schedule(rereadInterval, this::reread);
         }
     }
 
--- a/src/main/java/crankwick/discovery/HttpEndpointWatch.java
+++ b/src/main/java/crankwick/discovery/HttpEndpointWatch.java
@@ -137,7 +137,7 @@
             timer.cancel();
         }
         if (watch.nextTimerAt() < Long.MAX_VALUE) {
-            timer = loop.after(Math.max(0, watch.nextTimerAt() - clock.now()), this::onTimer);
+            timer = loop.schedule(Math.max(0, watch.nextTimerAt() - clock.now()), this::onTimer);
         }
         boolean failingNow = watch.failingSince() < Long.MAX_VALUE;
         if (failingNow != failing) {
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -82,7 +82,7 @@
     /** Lets so many leaders fail or drain, each so many microseconds after the one before. */
     public void scheduleFaults(int count, long intervalMicros) {
         faultsLeft = count;
-        loop.after(intervalMicros, () -> injectNextFault(intervalMicros));
+        loop.schedule(intervalMicros, () -> injectNextFault(intervalMicros));
     }
 
     private void injectNextFault(long intervalMicros) {
@@ -96,9 +96,9 @@
             int leader = group.model().leader();
             inject(group, leader, LEADER_FAULTS[random.nextInt(LEADER_FAULTS.length)]);
             long delay = random.nextLong(MIN_RESTART_DELAY_MICROS, MAX_RESTART_DELAY_MICROS);
-            loop.after(delay, () -> restart(group, leader));
+            loop.schedule(delay, () -> restart(group, leader));
         }
-        loop.after(intervalMicros, () -> injectNextFault(intervalMicros));
+        loop.schedule(intervalMicros, () -> injectNextFault(intervalMicros));
     }
 
     /** There is a leader, and all members are there to take over. */
@@ -115,7 +115,7 @@
     private void restart(EmulatedGroup group, int member) {
         GroupModel model = group.model();
         if (model.isDraining(member) && (model.leader() == member || model.leader() < 0)) {
-            loop.after(RESTART_RETRY_MICROS, () -> restart(group, member));
+            loop.schedule(RESTART_RETRY_MICROS, () -> restart(group, member));
             return;
         }
         inject(group, member, Kind.RESTART);
@@ -130,7 +130,7 @@
             connections.answerPendingLogins(group, member);
         }
         list.set(group.endpoints());
-        loop.after(random.nextLong(MIN_FAULT_LIST_DELAY_MICROS, MAX_FAULT_LIST_DELAY_MICROS), list::publish);
+        loop.schedule(random.nextLong(MIN_FAULT_LIST_DELAY_MICROS, MAX_FAULT_LIST_DELAY_MICROS), list::publish);
     }
 
     /** A port refuses while its process is down, and is opened anew by the next process. */
@@ -162,7 +162,7 @@
         long dueAt = group.model().nextTimerDue();
         if (dueAt < group.timerDueAt()) {
             group.setTimerDueAt(dueAt);
-            loop.after(Math.max(0, dueAt - clock.now()), () -> {
+            loop.schedule(Math.max(0, dueAt - clock.now()), () -> {
                 if (group.timerDueAt() == dueAt) {
                     group.setTimerDueAt(Long.MAX_VALUE);
                     deliver(group, new ModelEvent.TimerDue());
@@ -200,7 +200,7 @@
                 leader != group.lastLeader(),
                 clock.now() < group.model().startedAt(leader) + settings.warmUpMicros());
         group.setLastLeader(leader);
-        loop.after(random.nextLong(MIN_LEADER_LIST_DELAY_MICROS, MAX_LEADER_LIST_DELAY_MICROS), () -> {
+        loop.schedule(random.nextLong(MIN_LEADER_LIST_DELAY_MICROS, MAX_LEADER_LIST_DELAY_MICROS), () -> {
             list.set(group.endpointsLedBy(leader));
             list.publish();
         });
--- a/src/main/java/crankwick/emulator/MemberConnections.java
+++ b/src/main/java/crankwick/emulator/MemberConnections.java
@@ -113,7 +113,7 @@
     /** A request's earlier attempt that does not end soon was in flight beside the next one. */
     private void checkConcurrentAttempt(EmulatedConnection earlier) {
         long earlierExchange = earlier.exchangeId();
-        loop.after(CROSSING_GRACE_MICROS, () -> {
+        loop.schedule(CROSSING_GRACE_MICROS, () -> {
             boolean open = connections.get(earlier.connection()) == earlier;
             if (open && earlier.exchangeId() == earlierExchange) {
                 executionLog.recordConcurrentAttempt();
--- a/src/main/java/crankwick/runtime/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -62,7 +62,7 @@
 
     private void run(Effect effect) {
         if (effect instanceof Effect.SendAttempt e) {
-            databases.send(e, new ForwardedCommand(clients.command(e.requestId())));
+            databases.send(e, new ForwardedCommand(clients.findCommand(e.requestId())));
         } else if (effect instanceof Effect.SendReply e) {
             clients.reply(e.requestId(), e.reply());
         } else if (effect instanceof Effect.CancelAttempt e) {
@@ -70,7 +70,7 @@
         } else if (effect instanceof Effect.CancelQueuedAttempt e) {
             databases.cancelQueued(e.requestId());
         } else if (effect instanceof Effect.ScheduleTimer e) {
-            loop.after(e.delay(), () -> publish(e.event()));
+            loop.schedule(e.delay(), () -> publish(e.event()));
         } else if (effect instanceof Effect.CheckHealth e) {
             databases.checkHealth(e.endpointId());
         } else if (effect instanceof Effect.Log e) {
--- a/src/main/java/crankwick/transport/CodecFilter.java
+++ b/src/main/java/crankwick/transport/CodecFilter.java
@@ -173,7 +173,7 @@
     public abstract byte[] encode(Object value);
 
     /** This command goes out next, and its response may come in. To be called on the selector thread. */
-    public final void expect(Connection<?> connection, Object command) {
+    public final void expectResponse(Connection<?> connection, Object command) {
         decoders.peek(connection).onCommand(command);
     }
 
@@ -191,8 +191,8 @@
     }
 
     /** Runs a task on the selector thread, if the connection is still stalled once what has arrived is read. */
-    public final void ifStillStalled(Connection<?> connection, long micros, Runnable task) {
-        Transport.afterReading(connection, () -> {
+    public final void runIfStillStalled(Connection<?> connection, long micros, Runnable task) {
+        Transport.afterPendingReads(connection, () -> {
             if (isStalled(connection, micros)) {
                 task.run();
             }
--- a/src/main/java/crankwick/transport/EventLoop.java
+++ b/src/main/java/crankwick/transport/EventLoop.java
@@ -47,7 +47,7 @@
     }
 
     /** Runs a task on the loop after so many microseconds. */
-    public Timer after(long micros, Runnable task) {
+    public Timer schedule(long micros, Runnable task) {
         long due = System.nanoTime() + micros * NANOS_PER_MICRO;
         var future = executor.schedule(
                 guarded(() -> {
--- a/src/main/java/crankwick/transport/Transport.java
+++ b/src/main/java/crankwick/transport/Transport.java
@@ -93,12 +93,12 @@
      * concludes something from a peer's silence has to have listened first. Tasks go before what has arrived on
      * sockets, but a task that is handed over by a task goes behind it.
      */
-    public static void afterReading(Connection<?> connection, Runnable task) {
+    public static void afterPendingReads(Connection<?> connection, Runnable task) {
         onSelectorThread(connection, () -> onSelectorThread(connection, task));
     }
 
     /** True if an open connection has nothing to read; to be asked where it reads. */
-    public static boolean isQuiet(Connection<?> connection) {
+    public static boolean isOpenWithoutInput(Connection<?> connection) {
         try {
             return connection.isOpen() && channel(connection).read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
@@ -120,7 +120,7 @@
     }
 
     /** Ends the sending, as soon as what has been handed over is sent; reading goes on. */
-    public static void endSending(Connection<?> connection) {
+    public static void shutdownOutput(Connection<?> connection) {
         try {
             channel(connection).shutdownOutput();
         } catch (IOException e) {
--- a/src/test/java/crankwick/app/ConnectionRaceTest.java
+++ b/src/test/java/crankwick/app/ConnectionRaceTest.java
@@ -19,7 +19,7 @@
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.Hold hold = proxy.hold();
-            proxy.loop.execute(() -> proxy.front.close(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            proxy.loop.execute(() -> proxy.front.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
             client.write("1", WAIT_MS);
             hold.release();
             assertEquals(client.answer(), "Served primary:1");
@@ -38,7 +38,7 @@
                 Thread.sleep(1);
             }
             long latest = proxy.clock.now() + 500 * PausableProxyFixture.MS;
-            proxy.onLoop(() -> proxy.front.close(latest));
+            proxy.onLoop(() -> proxy.front.beginShutdown(latest));
             assertEquals(client.answer(), "Failed");
             assertNull(client.answer());
             long late = proxy.clock.now() - latest;
@@ -83,7 +83,7 @@
             client.begin("/* id=1,c=write,d=5000,k=k1,clus");
             proxy.awaitReader();
             hold.release();
-            proxy.onLoop(() -> proxy.front.close(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            proxy.onLoop(() -> proxy.front.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
             client.send("ter=0 */ INSERT");
             assertEquals(client.answer(), "Served primary:1");
             assertNull(client.answer());
@@ -222,7 +222,7 @@
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             other.send(LineProtocolCodec.HOLD_READER);
-            proxy.onLoop(() -> proxy.front.close(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            proxy.onLoop(() -> proxy.front.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
             client.begin("/* id=1,c=write,d=5000,k=k1,cluster=0 */ INSERT\n");
             Thread.sleep(100);
             proxy.wire.readerReleased.countDown();
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -76,7 +76,7 @@
         loop.execute(() -> {
             runner.updateEndpoints(new Discovery.ListUpdate(
                     EndpointUpdateKind.FULL, List.of(new Discovery.DiscoveredEndpoint(member, address))));
-            front.ready();
+            front.markReady();
         });
         front.listen(transport, new InetSocketAddress("127.0.0.1", 0));
     }
