--- a/src/main/java/crankwick/app/Main.java
+++ b/src/main/java/crankwick/app/Main.java
@@ -103,7 +103,7 @@
                         loop,
                         clock,
                         lists,
-                        new HttpEndpointWatch.Start(
+                        new HttpEndpointWatch.InitialState(
                                 config.discovery(),
                                 () -> PlatformConfig.read(file).discovery(),
                                 config.known(),
@@ -124,7 +124,7 @@
                 config.sockets(),
                 transport,
                 config.failoverSettings());
-        Discovery.ListUpdate known = EndpointList.complete(DnsSdZoneFile.parse(config.zone(), zones));
+        Discovery.ListUpdate known = EndpointList.requireComplete(DnsSdZoneFile.parse(config.zone(), zones));
         service.start(
                 config.listen(),
                 config.sockets(),
--- a/src/main/java/crankwick/app/OperatorConfig.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -30,7 +30,7 @@
 record OperatorConfig(
         InetSocketAddress listen,
         int sockets,
-        DnsSdZoneFile.Zone zone,
+        DnsSdZoneFile.DnsZone zone,
         long rereadIntervalMicros,
         Map<String, Contract> contracts,
         FailoverSettings failoverSettings,
@@ -78,8 +78,9 @@
         ConfigTable discovery = root.table("discovery");
         discovery.requireKnownKeys(DISCOVERY_KEYS);
         SettingsCodec settings = settings(root.table("settings"));
-        InetSocketAddress listen = ConfigTable.converted("listen", root.text("listen"), EndpointListCodec::address);
-        DnsSdZoneFile.Zone zone = zone(file, discovery);
+        InetSocketAddress listen =
+                ConfigTable.converted("listen", root.text("listen"), EndpointListCodec::parseAddress);
+        DnsSdZoneFile.DnsZone zone = zone(file, discovery);
         ConfigTable.converted(discovery.path("records"), zone, z -> endpoints(z, settings.zoneNames()));
         Map<String, Contract> contracts = new HashMap<>();
         ConfigTable teams = root.table("teams");
@@ -104,11 +105,11 @@
         }
     }
 
-    private static DnsSdZoneFile.Zone zone(Path file, ConfigTable discovery) {
+    private static DnsSdZoneFile.DnsZone zone(Path file, ConfigTable discovery) {
         Path records = file.toAbsolutePath().resolveSibling(discovery.text("records"));
         Name service =
                 ConfigTable.converted(discovery.path("service"), discovery.text("service"), OperatorConfig::name);
-        return new DnsSdZoneFile.Zone(records, service);
+        return new DnsSdZoneFile.DnsZone(records, service);
     }
 
     /** Null without the table: failovers are then left to the router alone. */
@@ -152,9 +153,9 @@
                 team.micros("deadline_cap_ms", 0));
     }
 
-    private static Discovery.ListUpdate endpoints(DnsSdZoneFile.Zone zone, List<String> zones) {
+    private static Discovery.ListUpdate endpoints(DnsSdZoneFile.DnsZone zone, List<String> zones) {
         try {
-            return EndpointList.complete(DnsSdZoneFile.parse(zone, zones));
+            return EndpointList.requireComplete(DnsSdZoneFile.parse(zone, zones));
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
--- a/src/main/java/crankwick/app/PlatformConfig.java
+++ b/src/main/java/crankwick/app/PlatformConfig.java
@@ -40,12 +40,13 @@
             key = "known";
             EndpointListCodec.VersionedList list =
                     new EndpointListCodec(settings.zoneNames()).parse(root.getAsJsonObject(key));
-            Discovery.ListUpdate known = EndpointList.complete(list.entries());
+            Discovery.ListUpdate known = EndpointList.requireComplete(list.entries());
             key = "listen";
-            InetSocketAddress listen = EndpointListCodec.address(root.get(key).getAsString());
+            InetSocketAddress listen =
+                    EndpointListCodec.parseAddress(root.get(key).getAsString());
             key = "discovery";
             InetSocketAddress discovery =
-                    EndpointListCodec.address(root.get(key).getAsString());
+                    EndpointListCodec.parseAddress(root.get(key).getAsString());
             key = "seed";
             long seed = Long.parseUnsignedLong(root.get(key).getAsString(), SEED_RADIX);
             key = "limits.sockets";
--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -122,7 +122,7 @@
     /** Takes an update of the endpoint list over, on the event loop. */
     void onEndpointsUpdated(Discovery.ListUpdate update) {
         runner.updateEndpoints(update);
-        if (!update.discovered().isEmpty()) {
+        if (!update.discoveredEndpoints().isEmpty()) {
             listener.ready();
         }
     }
--- a/src/main/java/crankwick/database/LoadReportCodec.java
+++ b/src/main/java/crankwick/database/LoadReportCodec.java
@@ -25,7 +25,7 @@
         double inFlight = Double.NaN;
         for (String part : text.split(",", -1)) {
             int equals = part.indexOf('=');
-            double value = number(part.substring(equals + 1));
+            double value = parseNumber(part.substring(equals + 1));
             if (equals <= 0 || Double.isNaN(value)) {
                 return null;
             }
@@ -42,13 +42,13 @@
     }
 
     /** A log position in Unix milliseconds as microseconds; NONE if the text is none. */
-    public static long position(String millis) {
-        double value = number(millis);
+    public static long parsePosition(String millis) {
+        double value = parseNumber(millis);
         return value > 0 ? (long) (value * MICROS_PER_MILLI) : AbsentValue.NONE;
     }
 
     /** A database's role in its group, from its {@code mode}. */
-    public static Role role(String mode) {
+    public static Role parseRole(String mode) {
         return switch (mode) {
             case "read-write" -> Role.PRIMARY;
             case "read-only" -> Role.REPLICA;
@@ -56,7 +56,7 @@
         };
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         double value = NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
         return value < MAX_NUMBER ? value : Double.NaN;
     }
--- a/src/main/java/crankwick/discovery/Discovery.java
+++ b/src/main/java/crankwick/discovery/Discovery.java
@@ -20,10 +20,12 @@
     record DiscoveredEndpoint(Endpoint endpoint, InetSocketAddress address) {}
 
     /** Changes of the list, or a complete list. */
-    record ListUpdate(EndpointUpdateKind kind, List<DiscoveredEndpoint> discovered) {
+    record ListUpdate(EndpointUpdateKind kind, List<DiscoveredEndpoint> discoveredEndpoints) {
         /** The list without the addresses. */
         public List<Endpoint> endpoints() {
-            return discovered.stream().map(DiscoveredEndpoint::endpoint).toList();
+            return discoveredEndpoints.stream()
+                    .map(DiscoveredEndpoint::endpoint)
+                    .toList();
         }
     }
 }
--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -34,15 +34,15 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /** The records' file, and the service's name in it. */
-    public record Zone(Path file, Name service) {}
+    public record DnsZone(Path file, Name service) {}
 
-    private final ConfigurationSource<Zone> configured;
+    private final ConfigurationSource<DnsZone> configured;
     private final List<String> zones;
     private final long rereadInterval;
     private final EventLoop loop;
     private final Consumer<ListUpdate> listener;
     private final EndpointList endpointList;
-    private Zone zone;
+    private DnsZone zone;
     private String lastText = "";
     /** The last fault, so that each is logged once. */
     private String lastFault = "";
@@ -54,8 +54,8 @@
      * {@code rereadInterval} microseconds.
      */
     public DnsSdZoneFile(
-            Zone zone,
-            ConfigurationSource<Zone> configured,
+            DnsZone zone,
+            ConfigurationSource<DnsZone> configured,
             List<String> zones,
             ListUpdate known,
             long rereadEvery,
@@ -67,7 +67,7 @@
         this.rereadInterval = rereadEvery;
         this.loop = loop;
         this.listener = listener;
-        endpointList = new EndpointList(known.discovered());
+        endpointList = new EndpointList(known.discoveredEndpoints());
     }
 
     @Override
@@ -123,7 +123,7 @@
     }
 
     /** The databases that a zone's file names, as far as their records are readable. */
-    public static List<EndpointList.Entry> parse(Zone zone, List<String> zones) throws IOException {
+    public static List<EndpointList.Entry> parse(DnsZone zone, List<String> zones) throws IOException {
         List<Name> instances = new ArrayList<>();
         Map<Name, SRVRecord> services = new HashMap<>();
         Map<Name, TXTRecord> texts = new HashMap<>();
@@ -160,7 +160,7 @@
         EndpointStatus status = null;
         try {
             Map<String, String> attributes = attributes(txt);
-            status = EndpointListCodec.status(attributes.getOrDefault("state", "up"));
+            status = EndpointListCodec.parseStatus(attributes.getOrDefault("state", "up"));
             Role role = "read-write".equals(attributes.get("mode")) ? Role.PRIMARY : Role.UNKNOWN;
             if (address == null) {
                 throw new EndpointListFormatException("lacks its SRV or A");
--- a/src/main/java/crankwick/discovery/EndpointList.java
+++ b/src/main/java/crankwick/discovery/EndpointList.java
@@ -50,7 +50,7 @@
     }
 
     /** The list of a configuration, of which every entry has to be readable. */
-    public static ListUpdate complete(List<Entry> entries) {
+    public static ListUpdate requireComplete(List<Entry> entries) {
         String fault = firstFault(entries);
         if (fault != null) {
             throw new EndpointListFormatException(fault);
--- a/src/main/java/crankwick/discovery/EndpointListCodec.java
+++ b/src/main/java/crankwick/discovery/EndpointListCodec.java
@@ -55,7 +55,7 @@
         try {
             JsonObject entry = element.getAsJsonObject();
             endpointId = required(entry, "id").getAsString();
-            status = status(required(entry, "state").getAsString());
+            status = parseStatus(required(entry, "state").getAsString());
             return EndpointList.Entry.of(discovered(entry, endpointId, status));
         } catch (IllegalArgumentException | IllegalStateException | UnsupportedOperationException unreadable) {
             String fault = "servers[" + index + "]: " + unreadable.getMessage();
@@ -73,7 +73,8 @@
                 primary ? Role.PRIMARY : Role.UNKNOWN,
                 status,
                 (long) (startedMillis * MICROS_PER_MILLI));
-        return new DiscoveredEndpoint(endpoint, address(required(entry, "addr").getAsString()));
+        return new DiscoveredEndpoint(
+                endpoint, parseAddress(required(entry, "addr").getAsString()));
     }
 
     private static JsonElement required(JsonObject object, String name) {
@@ -85,7 +86,7 @@
     }
 
     /** A database's status by its name in the list. */
-    static EndpointStatus status(String state) {
+    static EndpointStatus parseStatus(String state) {
         return switch (state) {
             case "up" -> EndpointStatus.LIVE;
             case "draining" -> EndpointStatus.DRAINING;
@@ -95,7 +96,7 @@
     }
 
     /** An address of the form host:port. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
             throw new EndpointListFormatException("not an address: " + text);
--- a/src/main/java/crankwick/discovery/HttpEndpointWatch.java
+++ b/src/main/java/crankwick/discovery/HttpEndpointWatch.java
@@ -41,7 +41,7 @@
      * @param version its version
      * @param seed of the random timeouts
      */
-    public record Start(
+    public record InitialState(
             InetSocketAddress address,
             ConfigurationSource<InetSocketAddress> configuredAddress,
             ListUpdate known,
@@ -54,17 +54,17 @@
             EventLoop loop,
             Clock clock,
             EndpointListCodec codec,
-            Start start,
+            InitialState initial,
             Consumer<ListUpdate> listener) {
         this.transport = transport;
         this.loop = loop;
         this.clock = clock;
-        address = start.address();
-        configuredAddress = start.configuredAddress();
+        address = initial.address();
+        configuredAddress = initial.configuredAddress();
         this.codec = codec;
-        endpointList = new EndpointList(start.known().discovered());
+        endpointList = new EndpointList(initial.known().discoveredEndpoints());
         this.listener = listener;
-        watch = new EndpointWatch(start.version(), start.seed(), this);
+        watch = new EndpointWatch(initial.version(), initial.seed(), this);
     }
 
     @Override
--- a/src/main/java/crankwick/pg/PgDatabaseCodec.java
+++ b/src/main/java/crankwick/pg/PgDatabaseCodec.java
@@ -122,8 +122,8 @@
 
         private void parameter(String name, String content) {
             switch (name) {
-                case "mode" -> role = LoadReportCodec.role(content);
-                case "wal_time" -> position = LoadReportCodec.position(content);
+                case "mode" -> role = LoadReportCodec.parseRole(content);
+                case "wal_time" -> position = LoadReportCodec.parsePosition(content);
                 case "stats" -> report = LoadReportCodec.parse(content);
                 default -> {}
             }
--- a/src/main/java/crankwick/runtime/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -80,8 +80,9 @@
 
     /** Takes an update of the endpoint list: the pool first, so that the broker names no database unknown to it. */
     public void updateEndpoints(Discovery.ListUpdate update) {
-        List<EndpointAddress> addresses = new ArrayList<>(update.discovered().size());
-        for (Discovery.DiscoveredEndpoint discovered : update.discovered()) {
+        List<EndpointAddress> addresses =
+                new ArrayList<>(update.discoveredEndpoints().size());
+        for (Discovery.DiscoveredEndpoint discovered : update.discoveredEndpoints()) {
             addresses.add(new EndpointAddress(discovered.endpoint(), discovered.address()));
         }
         databases.updateEndpoints(update.kind(), addresses);
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -137,8 +137,8 @@
                 int equals = text.indexOf('=');
                 String content = text.substring(equals + 1);
                 switch (text.substring(0, Math.max(0, equals))) {
-                    case "mode" -> role = LoadReportCodec.role(content);
-                    case "wal_time" -> position = LoadReportCodec.position(content);
+                    case "mode" -> role = LoadReportCodec.parseRole(content);
+                    case "wal_time" -> position = LoadReportCodec.parsePosition(content);
                     case "stats" -> report = LoadReportCodec.parse(content);
                     default -> {}
                 }
--- a/src/test/java/crankwick/discovery/EndpointListTest.java
+++ b/src/test/java/crankwick/discovery/EndpointListTest.java
@@ -38,8 +38,8 @@
     }
 
     private static EndpointList listing() {
-        return new EndpointList(EndpointList.complete(entries(entry("s", "up"), entry("t", "up")))
-                .discovered());
+        return new EndpointList(EndpointList.requireComplete(entries(entry("s", "up"), entry("t", "up")))
+                .discoveredEndpoints());
     }
 
     /** Guards against a drain passed over because something else of its entry can't be read. */
@@ -104,7 +104,7 @@
     public void configurationHoldsOnlyWhatCanBeRead() {
         assertNull(EndpointList.firstFault(entries(entry("s", "up"))));
         try {
-            EndpointList.complete(entries(entry("s", "up"), unreadable(entry("t", "up"))));
+            EndpointList.requireComplete(entries(entry("s", "up"), unreadable(entry("t", "up"))));
         } catch (IllegalArgumentException e) {
             assertEquals(e.getMessage().substring(0, 12), "servers[1]: ");
             return;
