--- a/src/main/java/crankwick/failover/AttemptObservation.java
+++ b/src/main/java/crankwick/failover/AttemptObservation.java
@@ -4,12 +4,12 @@
 import crankwick.routing.api.Role;
 
 /**
- * What the end of an attempt says about the endpoint that it was sent to.
+ * The result of an attempt, as an observation of the endpoint to which it was sent.
  *
- * @param write whether the request was a write, which only a primary serves
+ * @param write true if the request was a write, which only a primary serves
  * @param sentAt when the attempt was sent, in microseconds
  * @param role the role that the endpoint reported
- * @param position the log position that it reported; NONE where absent
+ * @param position the log position that the endpoint reported, or NONE if it reported no position
  */
 public record AttemptObservation(
         String endpointId, boolean write, long sentAt, AttemptResult result, Role role, long position) {}
--- a/src/main/java/crankwick/failover/AttemptPermit.java
+++ b/src/main/java/crankwick/failover/AttemptPermit.java
@@ -1,10 +1,10 @@
 package crankwick.failover;
 
-/** Whether an attempt of a request may be sent. */
+/** The decision whether an attempt of a request may be sent. */
 public enum AttemptPermit {
     GRANTED,
-    /** The window in which databases discard repeats of its key is over. */
+    /** The key window, during which databases discard repeats of the idempotency key, has ended. */
     KEY_EXPIRED,
-    /** No further key can be remembered. */
+    /** The key registry is at capacity and cannot record the request's key. */
     REGISTRY_FULL
 }
--- a/src/main/java/crankwick/failover/EvidenceFilter.java
+++ b/src/main/java/crankwick/failover/EvidenceFilter.java
@@ -11,12 +11,12 @@
 import java.util.List;
 
 /**
- * Turns what endpoints, connections and the endpoint list report into {@link LeadershipEvidence}, and passes on
- * only those roles that the groups' leadership bears out; any other becomes UNKNOWN.
+ * Converts attempt results, load reports and endpoint list updates to {@link LeadershipEvidence}, and replaces each
+ * reported role that the group's {@link Leadership} rejects with UNKNOWN.
  */
 final class EvidenceFilter {
-    /** A connection that fails within this share of the connect timeout was refused, not left without an answer. */
-    private static final double IMMEDIATE_REFUSAL_SHARE = 0.8;
+    /** A connection that fails within this fraction of the connect timeout counts as refused, not as timed out. */
+    private static final double IMMEDIATE_REFUSAL_FRACTION = 0.8;
 
     private final GroupRegistry groups;
     private final long connectTimeout;
@@ -26,10 +26,13 @@
         this.connectTimeout = connectTimeout;
     }
 
-    /** The endpoint list; where a group has a leader that spoke for itself, the list names none. */
+    /**
+     * Takes an endpoint list update and returns its endpoints. In a group whose leader has reported its own role, a
+     * PRIMARY role in the list counts as outdated and becomes UNKNOWN.
+     */
     List<Endpoint> filterEndpoints(EndpointUpdateKind kind, List<Endpoint> endpoints, long now) {
         if (kind == EndpointUpdateKind.FULL) {
-            groups.missingFrom(endpoints).forEach((endpointId, group) -> {
+            groups.endpointsMissingFrom(endpoints).forEach((endpointId, group) -> {
                 group.leadership().observe(new LeadershipEvidence.Delisted(endpointId), now);
                 groups.removeEndpoint(endpointId, group);
             });
@@ -42,7 +45,7 @@
     }
 
     private Endpoint filterEndpoint(Endpoint endpoint, long now) {
-        GroupState group = groups.groupOfListed(endpoint);
+        GroupState group = groups.groupOfListedEndpoint(endpoint);
         if (group == null) {
             return endpoint;
         }
@@ -63,8 +66,8 @@
     }
 
     /**
-     * The role that an attempt's end reports, or UNKNOWN where it is outdated. A report is dated by the sending
-     * of its attempt: the answer may have been long on its way.
+     * Returns the role reported by an attempt, or UNKNOWN if that role is outdated. The role counts as of the time
+     * at which the attempt was sent, because the reply may have been delayed.
      */
     Role filterRole(AttemptObservation attempt, long now) {
         GroupState group = groups.groupOf(attempt.endpointId());
@@ -99,7 +102,7 @@
     }
 
     private void observeUnreachable(GroupState group, String endpointId, long sentAt, long now) {
-        boolean refused = now - sentAt < connectTimeout * IMMEDIATE_REFUSAL_SHARE;
+        boolean refused = now - sentAt < connectTimeout * IMMEDIATE_REFUSAL_FRACTION;
         group.leadership()
                 .observe(
                         refused
@@ -108,7 +111,7 @@
                         now);
     }
 
-    /** A health check's report, with its role UNKNOWN where that is outdated. */
+    /** Returns the report of a health check, with an outdated role replaced by UNKNOWN. */
     LoadReport filterHealthCheck(String endpointId, AttemptResult result, long duration, LoadReport report, long now) {
         GroupState group = groups.groupOf(endpointId);
         if (group == null) {
@@ -122,13 +125,13 @@
         return filterReport(group, endpointId, report, now);
     }
 
-    /** A load report, with its role UNKNOWN where that is outdated. */
+    /** Returns a load report, with an outdated role replaced by UNKNOWN. */
     LoadReport filterReport(String endpointId, LoadReport report, long now) {
         GroupState group = groups.groupOf(endpointId);
         return group == null ? report : filterReport(group, endpointId, report, now);
     }
 
-    /** A report is dated by its position: a primary's is the present, a replica's lies before it. */
+    /** Uses the log position as the time of the report: a primary's is the current time, a replica's an earlier one. */
     private LoadReport filterReport(GroupState group, String endpointId, LoadReport report, long now) {
         if (report == null || report.role() == Role.UNKNOWN || report.position() == AbsentValue.NONE) {
             return report;
--- a/src/main/java/crankwick/failover/FailoverActions.java
+++ b/src/main/java/crankwick/failover/FailoverActions.java
@@ -1,22 +1,22 @@
 package crankwick.failover;
 
-/** What the broker carries out for the {@link FailoverCoordinator}, at once and in order. */
+/** The actions that the broker executes for the {@link FailoverCoordinator}, immediately and in order. */
 public interface FailoverActions {
-    /** Passes a buffered request on to the router. */
+    /** Passes a buffered request to the router. */
     void release(long requestId);
 
-    /** Answers a buffered request: rejected, to be retried after {@code retryAfter} microseconds. */
+    /** Rejects a buffered request with a retry-after of {@code retryAfter} microseconds. */
     void reject(long requestId, long retryAfter);
 
-    /** Answers a request: failed, because it may have executed and its key's window is over. */
+    /** Fails a request that may have executed and can no longer be repeated safely. */
     void failWithUnknownOutcome(long requestId);
 
-    /** Cancels the attempt in flight at a leader that has been replaced. */
+    /** Cancels a request's attempt that is in flight at a replaced leader. */
     void cancelAttempt(long requestId);
 
-    /** Asks for a call of {@link FailoverCoordinator#onTimer} in so many microseconds. */
+    /** Schedules a call of {@link FailoverCoordinator#onTimer} after {@code delay} microseconds. */
     void scheduleTimer(long delay);
 
-    /** Writes a line for the operators. */
+    /** Writes a line to the log. */
     void log(String line);
 }
--- a/src/main/java/crankwick/failover/FailoverAdmission.java
+++ b/src/main/java/crankwick/failover/FailoverAdmission.java
@@ -1,13 +1,13 @@
 package crankwick.failover;
 
-/** What becomes of a request that has been received. */
+/** The admission decision for a received request. */
 public enum FailoverAdmission {
-    /** It goes to the router. */
+    /** The request goes to the router. */
     ADMIT,
-    /** It waits for its group's leader. */
+    /** The request is buffered until its group has a leader. */
     BUFFER,
-    /** It has not executed and cannot be served in time. */
+    /** The request has not executed, and is unlikely to be served in time or exceeds a buffer limit. */
     REJECT,
-    /** It may have executed, and its key's window is over or will be. */
+    /** The request may have executed and cannot be admitted, for example because its key window has ended. */
     FAIL
 }
--- a/src/main/java/crankwick/failover/FailoverCoordinator.java
+++ b/src/main/java/crankwick/failover/FailoverCoordinator.java
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /**
- * Failovers of primaries, for one proxy: who leads each group, which requests wait outside the router until
- * somebody does, and which keys may have executed. It has no input, output or clock; the broker reports what
- * happens and carries out the decisions through {@link FailoverActions}.
+ * Handles failovers of primaries for one proxy: tracks the leader of each group, buffers requests while a group has no
+ * leader, and records which idempotency keys may have executed. It performs no I/O and reads no clock; the broker
+ * reports events and executes the decisions through {@link FailoverActions}.
  *
- * <p>A request waits either here or in the router, never in both: here from {@link #admit} to
- * {@link FailoverActions#release}, there afterwards. While a group is leaderless one request at a time is released,
- * so that the router looks for the new primary; it decides which endpoint to ask and whether to retry.
+ * <p>A request is queued either here or in the router, never in both: here from {@link #admit} to
+ * {@link FailoverActions#release}, in the router afterwards. While a group is leaderless, one request at a time is
+ * released so that the router searches for the new primary; the router selects the endpoint and decides on retries.
  */
 public final class FailoverCoordinator {
     private static final long DECISION_INTERVAL_MICROS = 50_000;
@@ -28,7 +28,7 @@
     private final FailoverDecisions decisions;
     private boolean timerScheduled;
 
-    /** Buffers and remembers as {@code settings} say; {@code seed} varies the hashes of keys. */
+    /** Creates a coordinator without groups; {@code seed} is the seed of the key hash. */
     public FailoverCoordinator(FailoverSettings settings, RoutingSettings routing, long seed) {
         groups = new GroupRegistry(settings);
         evidence = new EvidenceFilter(groups, routing.limits().connectTimeout());
@@ -37,59 +37,59 @@
         decisions = new FailoverDecisions(settings, routing, requests, keys, counters);
     }
 
-    /** Takes news of the endpoint list and returns it without outdated claims to be primary. */
+    /** Takes an endpoint list update and returns its endpoints, with outdated PRIMARY roles replaced by UNKNOWN. */
     public List<Endpoint> onEndpointsUpdated(EndpointUpdateKind kind, List<Endpoint> endpoints, long now) {
         return evidence.filterEndpoints(kind, endpoints, now);
     }
 
-    /** Takes what an attempt's end shows and returns the role that it reported, UNKNOWN where that is outdated. */
+    /** Takes the observation of an attempt and returns the reported role, or UNKNOWN if that role is outdated. */
     public Role onAttemptObserved(AttemptObservation attempt, long now) {
         return evidence.filterRole(attempt, now);
     }
 
-    /** Takes a health check's end and returns its report, with its role UNKNOWN where that is outdated. */
+    /** Takes the result of a health check and returns its report, with an outdated role replaced by UNKNOWN. */
     public LoadReport onHealthCheckEnded(
             String endpointId, AttemptResult result, long duration, LoadReport report, long now) {
         return evidence.filterHealthCheck(endpointId, result, duration, report, now);
     }
 
-    /** Takes a load report and returns it, with its role UNKNOWN where that is outdated. */
+    /** Takes a load report and returns it, with an outdated role replaced by UNKNOWN. */
     public LoadReport onLoadReport(String endpointId, LoadReport report, long now) {
         return evidence.filterReport(endpointId, report, now);
     }
 
-    /** Decides on a request that has been received; if it is not admitted, the caller answers it. */
+    /** Decides on a received request; the caller must answer a request that is rejected or failed. */
     public FailoverAdmission admit(IncomingRequest request, long now) {
         return requests.admit(request, now);
     }
 
-    /** When a request that is rejected for want of a leader should be retried, in microseconds. */
+    /** Returns the retry-after in microseconds for a request that is rejected because its group has no leader. */
     public long retryAfter(long groupId, int classIndex, long now) {
         return decisions.retryAfter(groups.group(groupId), classIndex, now);
     }
 
-    /** True if a request's key may have executed, by whatever request, so that a repeat may do harm. */
+    /** Returns true if a request with the same key may have executed, so that a repeat may execute it again. */
     public boolean hasUnknownOutcome(long requestId) {
         TrackedRequest request = requests.find(requestId);
         return request != null && request.hasUnknownOutcome();
     }
 
-    /** Decides whether an attempt may be sent; if it is granted, it counts as sent now. */
+    /** Decides whether an attempt may be sent; a granted attempt counts as sent at {@code now}. */
     public AttemptPermit permitAttempt(long requestId, String endpointId, long now) {
         return requests.permitAttempt(requestId, endpointId, now);
     }
 
-    /** An attempt has ended. */
+    /** Handles the end of an attempt. */
     public void onAttemptEnded(long requestId, AttemptResult result, long duration, long now) {
         requests.onAttemptEnded(requestId, result, duration, now);
     }
 
-    /** A request has its final answer, or its caller has left. */
+    /** Handles the completion of a request: its final reply was sent, or its client has disconnected. */
     public void onRequestCompleted(long requestId) {
         requests.onRequestCompleted(requestId);
     }
 
-    /** Decides for one group, after an event that concerns it. */
+    /** Makes the decisions for one group, after an event that affects it. */
     public void decide(long groupId, long now, FailoverActions actions) {
         GroupState group = groups.group(groupId);
         if (group != null) {
@@ -97,14 +97,14 @@
         }
     }
 
-    /** Decides for all groups, after news of many. */
+    /** Makes the decisions for all groups, after an event that affects several. */
     public void decideAll(long now, FailoverActions actions) {
         for (GroupState group : groups.all()) {
             decide(group, now, actions);
         }
     }
 
-    /** The timer that was scheduled has fired. */
+    /** Handles the timer scheduled through {@link FailoverActions#scheduleTimer}. */
     public void onTimer(long now, FailoverActions actions) {
         timerScheduled = false;
         decideAll(now, actions);
@@ -119,28 +119,28 @@
         }
     }
 
-    /** The number of an endpoint's group, or NONE. */
+    /** Returns the number of an endpoint's group, or NONE if the endpoint is unknown. */
     public long groupIdOf(String endpointId) {
         return groups.groupIdOf(endpointId);
     }
 
-    /** A group's leadership; null for a group that is not known. */
+    /** Returns a group's leadership, or null if the group is unknown. */
     public Leadership leadership(long groupId) {
         GroupState group = groups.group(groupId);
         return group == null ? null : group.leadership();
     }
 
-    /** Requests buffered now, over all groups. */
+    /** Returns the number of buffered requests over all groups. */
     public int bufferedRequests() {
         return requests.buffered();
     }
 
-    /** Keys remembered now. */
+    /** Returns the number of idempotency keys in the registry. */
     public int trackedKeys() {
         return keys.size();
     }
 
-    /** What has been counted so far. */
+    /** Returns the counters, which start at zero when the coordinator is created. */
     public FailoverCounters counters() {
         return counters;
     }
--- a/src/main/java/crankwick/failover/FailoverCounters.java
+++ b/src/main/java/crankwick/failover/FailoverCounters.java
@@ -1,6 +1,6 @@
 package crankwick.failover;
 
-/** What failovers have cost since the start. */
+/** Counts failovers and their effects on requests since the start. */
 public final class FailoverCounters {
     long failovers;
     long buffered;
@@ -12,22 +12,22 @@
     long keyWindowsExpired;
     long retriesFailed;
 
-    /** Failovers of groups whose leader was known before. */
+    /** Returns the number of failovers; the first leader of a group does not count as one. */
     public long failovers() {
         return failovers;
     }
 
-    /** Buffered requests that were released to the router. */
+    /** Returns the number of buffered requests that were released to the router. */
     public long released() {
         return released;
     }
 
-    /** The most requests that were buffered at once. */
+    /** Returns the maximum number of requests that were buffered at the same time. */
     public int maxBuffered() {
         return maxBuffered;
     }
 
-    /** One line for the operators. */
+    /** Returns all counters as one log line. */
     @Override
     public String toString() {
         return "failovers=" + failovers
--- a/src/main/java/crankwick/failover/FailoverSettings.java
+++ b/src/main/java/crankwick/failover/FailoverSettings.java
@@ -1,20 +1,21 @@
 package crankwick.failover;
 
 /**
- * What an installation configures of failovers; times in microseconds. The operator's file has keys of its own for
- * these, which the messages of mistakes name.
+ * Settings for failovers; times in microseconds. The keys in the operator's file differ from the component names here;
+ * validation errors contain the key in the file.
  *
- * @param maxBufferedPerGroup requests buffered for one group, 0 or more; 0 buffers none
- * @param maxBufferedPerTeam requests buffered of one team over all groups
- * @param maxBytesPerGroup bytes of statements buffered for one group
- * @param maxBytesPerTeam bytes of statements buffered of one team
- * @param minSuccessProbability a request waits only while the failover ends in time with this probability or more,
- *     0 to 1
- * @param initialWindow requests released at once to a new primary, 1 or more
- * @param keyMargin a key's window ends this much early, for the way to the database
- * @param maxKeys keys that may have executed and are remembered, 1 or more
- * @param keyRetention how long after its window a key that may have executed is still remembered, so that a client's
- *     retry fails instead of executing a second time
+ * @param maxBufferedPerGroup the maximum number of requests buffered for one group; 0 disables buffering
+ * @param maxBufferedPerTeam the maximum number of requests of one team buffered over all groups
+ * @param maxBytesPerGroup the maximum size of the statements buffered for one group
+ * @param maxBytesPerTeam the maximum size of the statements of one team buffered over all groups
+ * @param minSuccessProbability the minimum probability, 0 to 1, that the failover ends in time for a request to stay
+ *     buffered
+ * @param initialWindow the number of requests released to a new primary at the same time, 1 or more
+ * @param keyMargin how long before the end of a key window attempts stop being sent, to cover the latency to the
+ *     database
+ * @param maxKeys the maximum number of keys in the registry, 1 or more
+ * @param keyRetention how long a key that may have executed stays in the registry after its key window, so that
+ *     a client's retry fails instead of executing a second time
  * @param minUnplannedDuration the shortest expected failover from a failed primary
  * @param maxUnplannedDuration the longest expected failover from a failed primary
  * @param minPlannedDuration the shortest expected failover from a draining primary
@@ -38,7 +39,7 @@
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long BYTES_PER_MEBIBYTE = 1 << 20;
 
-    /** What holds where the operator's file is silent. */
+    /** The defaults for keys that are missing in the operator's file. */
     public static final FailoverSettings DEFAULT = new FailoverSettings(
             512,
             2_048,
@@ -54,7 +55,7 @@
             490 * MICROS_PER_MILLI,
             1_000 * MICROS_PER_MILLI);
 
-    /** Checks every field; throws IllegalArgumentException that names the key of the operator's file. */
+    /** Validates all components; throws an IllegalArgumentException with the key in the operator's file. */
     public FailoverSettings {
         require(maxBufferedPerGroup >= 0, "held_per_group");
         require(maxBufferedPerTeam >= 0, "held_per_team");
@@ -71,7 +72,7 @@
         require(maxPlannedDuration >= minPlannedDuration, "planned_most_ms");
     }
 
-    /** The same with another minimum of the success probability. */
+    /** Returns a copy with another minimum success probability. */
     public FailoverSettings withMinSuccessProbability(double probability) {
         return new FailoverSettings(
                 maxBufferedPerGroup,
@@ -89,8 +90,8 @@
                 maxPlannedDuration);
     }
 
-    private static void require(boolean holds, String key) {
-        if (!holds) {
+    private static void require(boolean condition, String key) {
+        if (!condition) {
             throw new IllegalArgumentException("unusable key handover." + key);
         }
     }
--- a/src/main/java/crankwick/failover/GroupRegistry.java
+++ b/src/main/java/crankwick/failover/GroupRegistry.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The replication groups of the endpoint list, and which group each endpoint belongs to. */
+/** The replication groups in the endpoint list, and the group of each endpoint. */
 final class GroupRegistry {
     private final FailoverSettings settings;
     private final Map<Long, GroupState> groups = new LinkedHashMap<>();
@@ -19,36 +19,39 @@
         this.settings = settings;
     }
 
-    /** A group by its number; null if it is not known. */
+    /** Returns a group by its number, or null if the group is unknown. */
     GroupState group(long groupId) {
         return groups.get(groupId);
     }
 
-    /** An endpoint's group; null if the endpoint is not known. */
+    /** Returns an endpoint's group, or null if the endpoint is unknown. */
     GroupState groupOf(String endpointId) {
         return groupByEndpoint.get(endpointId);
     }
 
-    /** The number of an endpoint's group, or NONE. */
+    /** Returns the number of an endpoint's group, or NONE if the endpoint is unknown. */
     long groupIdOf(String endpointId) {
         GroupState group = groupOf(endpointId);
         return group == null ? AbsentValue.NONE : group.id();
     }
 
-    /** All groups; a copy, since decisions may remove some. */
+    /** Returns a copy of all groups, because decisions may remove groups during iteration. */
     List<GroupState> all() {
         return List.copyOf(groups.values());
     }
 
-    /** The known endpoints that a complete list leaves out, with their groups. */
-    Map<String, GroupState> missingFrom(List<Endpoint> completeList) {
+    /** Returns the known endpoints that are missing from a full list, with their groups. */
+    Map<String, GroupState> endpointsMissingFrom(List<Endpoint> fullList) {
         Map<String, GroupState> missing = new HashMap<>(groupByEndpoint);
-        completeList.forEach(endpoint -> missing.remove(endpoint.id()));
+        fullList.forEach(endpoint -> missing.remove(endpoint.id()));
         return missing;
     }
 
-    /** The group of a listed endpoint, which is added unless the list removes it; null if it stays unknown. */
-    GroupState groupOfListed(Endpoint endpoint) {
+    /**
+     * Returns the group of a listed endpoint, adding an unknown endpoint; null if it is unknown and listed as
+     * removed.
+     */
+    GroupState groupOfListedEndpoint(Endpoint endpoint) {
         GroupState group = groupByEndpoint.get(endpoint.id());
         if (group == null && endpoint.status() != EndpointStatus.REMOVED) {
             group = groups.computeIfAbsent(endpoint.groupId(), id -> new GroupState(id, settings, teamUsage));
@@ -58,16 +61,16 @@
         return group;
     }
 
-    /** Forgets an endpoint that has been removed from the list. */
+    /** Removes an endpoint that is no longer in the list. */
     void removeEndpoint(String endpointId, GroupState group) {
         if (groupByEndpoint.remove(endpointId) != null) {
-            group.leadership().forget(endpointId);
+            group.leadership().removeEndpoint(endpointId);
             group.endpointRemoved();
             removeIfUnused(group);
         }
     }
 
-    /** A group without endpoints is kept only for requests that are still open. */
+    /** Removes a group if it has neither endpoints nor open requests. */
     void removeIfUnused(GroupState group) {
         if (group.isUnused()) {
             groups.remove(group.id(), group);
--- a/src/main/java/crankwick/failover/GroupState.java
+++ b/src/main/java/crankwick/failover/GroupState.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One replication group: its leadership, its buffered and released requests, and how long its failovers take. */
+/** The state of one replication group: its leadership, buffered and released requests, and failover durations. */
 final class GroupState {
     private final long id;
     private final Leadership leadership = new Leadership();
@@ -13,7 +13,7 @@
     private final ReleaseWindow releaseWindow = new ReleaseWindow();
     private final FailoverDurations plannedDurations;
     private final FailoverDurations unplannedDurations;
-    private int endpoints;
+    private int endpointCount;
     private long handledTerm;
 
     GroupState(long id, FailoverSettings settings, Map<String, RequestBuffer.TeamUsage> teamUsage) {
@@ -43,29 +43,29 @@
         return leadership.phase() == Leadership.Phase.LEADERLESS;
     }
 
-    /** The durations of failovers of the kind that the last one was. */
+    /** Returns the durations of planned or unplanned failovers, by the kind of the current or last failover. */
     FailoverDurations durations() {
         return leadership.isFailoverPlanned() ? plannedDurations : unplannedDurations;
     }
 
     void endpointAdded() {
-        endpoints++;
+        endpointCount++;
     }
 
     void endpointRemoved() {
-        endpoints--;
+        endpointCount--;
     }
 
-    /** True if it has neither endpoints nor requests that are still open. */
+    /** Returns true if the group has neither endpoints nor open requests. */
     boolean isUnused() {
-        return endpoints == 0 && released.isEmpty() && buffer.size() == 0;
+        return endpointCount == 0 && released.isEmpty() && buffer.size() == 0;
     }
 
     void addReleased(TrackedRequest request) {
         released.put(request.requestId(), request);
     }
 
-    /** Forgets a request that is over, and returns its place in the release window if it has one. */
+    /** Removes a finished request, and returns its capacity to the release window if it was counted there. */
     void removeReleased(TrackedRequest request) {
         boolean wasReleased = released.remove(request.requestId()) != null;
         if (wasReleased && request.isPacedIn(leadership.term())) {
@@ -77,7 +77,10 @@
         return !released.isEmpty();
     }
 
-    /** The released requests in the order of their release; a copy, since decisions change the original. */
+    /**
+     * Returns a copy of the released requests in order of release, because decisions may remove some during
+     * iteration.
+     */
     List<TrackedRequest> released() {
         return List.copyOf(released.values());
     }
@@ -86,7 +89,7 @@
         return buffer.size() > 0 || !released.isEmpty();
     }
 
-    /** The term whose beginning has been acted on; 0 before the first. */
+    /** Returns the last term whose start has been handled; 0 before the first term. */
     long handledTerm() {
         return handledTerm;
     }
--- a/src/main/java/crankwick/failover/IncomingRequest.java
+++ b/src/main/java/crankwick/failover/IncomingRequest.java
@@ -1,10 +1,11 @@
 package crankwick.failover;
 
 /**
- * A request as it is received; times in microseconds.
+ * A request as received from a client; times in microseconds.
  *
- * @param idempotencyKey its idempotency key; null for none
- * @param statementBytes the length of its statement
+ * @param idempotencyKey the request's idempotency key, or null if it has none
+ * @param statementBytes the length of the statement
+ * @param expiresAt the deadline of the request
  */
 public record IncomingRequest(
         long requestId,
--- a/src/main/java/crankwick/failover/KeyHash.java
+++ b/src/main/java/crankwick/failover/KeyHash.java
@@ -1,8 +1,8 @@
 package crankwick.failover;
 
 /**
- * A seeded 64-bit hash over an idempotency key and its group: with a million keys in memory the probability that any
- * two share one is under one in ten million.
+ * A seeded 64-bit hash over an idempotency key and its group: with one million keys in memory, the probability of
+ * any collision is below one in ten million.
  */
 final class KeyHash {
     private static final long GROUP_MULTIPLIER = 0x9E3779B97F4A7C15L;
--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -3,23 +3,31 @@
 import java.util.Arrays;
 
 /**
- * The idempotency keys that may have executed, each from the sending of the first attempt that may have until its
- * window and the retention after it are over. Entries stand in parallel arrays, chained by hash, and expire on a
- * hashed timing wheel (Varghese and Lauck, "Hashed and hierarchical timing wheels", 1987): an operation takes
- * constant time and an entry {@value #BYTES_PER_ENTRY} bytes with its share of the chains, whatever their number.
+ * Records the idempotency keys that may have executed. An entry lives from the sending of the key's first attempt that
+ * may have executed until the end of the key window and the retention period after it.
  *
- * <p>A key is known by its {@link KeyHash} only; of a pair that shares one, a request is failed at worst.
+ * <p>Entries are stored in parallel arrays, chained by hash, and expire on a hashed timing wheel (Varghese and Lauck,
+ * "Hashed and hierarchical timing wheels", 1987): an operation takes constant time, and an entry takes
+ * {@value #BYTES_PER_ENTRY} bytes including its share of the chain heads, regardless of the number of entries.
+ *
+ * <p>Keys are identified by their {@link KeyHash} only; if two keys collide, the worst effect is that a request fails.
  */
 final class KeyRegistry {
-    /** Three times 8 for hash, sending and expiry, three times 4 for two links and a chain head, 1 for the state. */
+    /**
+     * 8 bytes each for hash, send time and expiry, 4 bytes each for two links and a chain head, 1 byte for the
+     * state.
+     */
     static final int BYTES_PER_ENTRY = 37;
 
-    /** The time of what has not happened. */
+    /** The time of an event that has not happened. */
     static final long NEVER = Long.MAX_VALUE;
 
     private static final int NONE = -1;
     private static final int INITIAL_CAPACITY = 64;
-    /** The span of a slot of the wheel; entries that live longer than one turn go round again. */
+    /**
+     * The width of a wheel slot; an entry that expires after more than one turn is put back into its slot on
+     * each turn.
+     */
     private static final long TICK_MICROS = 8_192;
 
     private static final int SLOTS = 1_024;
@@ -37,31 +45,31 @@
     private int[] nextInChain;
     private int[] nextInSlot;
     private byte[] states;
-    private int[] chains;
+    private int[] chainHeads;
     private final int[] slots = new int[SLOTS];
     private int firstFree = NONE;
-    private int used;
+    private int allocatedEntries;
     private int size;
     private long currentTick = Long.MIN_VALUE;
 
-    /** Remembers up to {@code maxKeys} keys; the arrays grow to that as needed. */
+    /** Creates a registry for up to {@code maxKeys} keys; the arrays grow to that size as needed. */
     KeyRegistry(int maxKeys, long seed) {
         this.maxKeys = maxKeys;
         keyHash = new KeyHash(seed);
         Arrays.fill(slots, NONE);
-        allocate(Math.min(maxKeys, INITIAL_CAPACITY));
+        resizeArrays(Math.min(maxKeys, INITIAL_CAPACITY));
     }
 
-    private void allocate(int capacity) {
+    private void resizeArrays(int capacity) {
         hashes = hashes == null ? new long[capacity] : Arrays.copyOf(hashes, capacity);
         sentAt = sentAt == null ? new long[capacity] : Arrays.copyOf(sentAt, capacity);
         expiresAt = expiresAt == null ? new long[capacity] : Arrays.copyOf(expiresAt, capacity);
         nextInChain = nextInChain == null ? new int[capacity] : Arrays.copyOf(nextInChain, capacity);
         nextInSlot = nextInSlot == null ? new int[capacity] : Arrays.copyOf(nextInSlot, capacity);
         states = states == null ? new byte[capacity] : Arrays.copyOf(states, capacity);
-        chains = new int[Integer.highestOneBit(Math.max(2, capacity) * 2 - 1)];
-        Arrays.fill(chains, NONE);
-        for (int entry = 0; entry < used; entry++) {
+        chainHeads = new int[Integer.highestOneBit(Math.max(2, capacity) * 2 - 1)];
+        Arrays.fill(chainHeads, NONE);
+        for (int entry = 0; entry < allocatedEntries; entry++) {
             if (states[entry] != FREE) {
                 addToChain(entry);
             }
@@ -69,31 +77,32 @@
     }
 
     private void addToChain(int entry) {
-        int head = chainOf(hashes[entry]);
-        nextInChain[entry] = chains[head];
-        chains[head] = entry;
+        int chain = chainIndexOf(hashes[entry]);
+        nextInChain[entry] = chainHeads[chain];
+        chainHeads[chain] = entry;
     }
 
-    private int chainOf(long hash) {
-        return (int) (hash >>> Integer.SIZE) & chains.length - 1;
+    private int chainIndexOf(long hash) {
+        return (int) (hash >>> Integer.SIZE) & chainHeads.length - 1;
     }
 
-    /** The hash by which a group's key is known here. */
+    /** Returns the hash that identifies a group's key in this registry. */
     long hash(long groupId, String key) {
         return keyHash.of(groupId, key);
     }
 
     /**
-     * An attempt is sent. The first one that may have executed starts the window: a later one changes nothing.
+     * Records that an attempt is sent. The first attempt that may have executed starts the key window; later attempts
+     * do not extend it.
      *
-     * @param timeToLive how long the key is remembered from now on
-     * @return false if no further key can be remembered
+     * @param timeToLive how long the key stays in the registry, from {@code now}
+     * @return false if the key is new and the registry is full
      */
     boolean recordAttempt(long hash, long now, long timeToLive) {
         advance(now);
         int entry = find(hash);
         if (entry == NONE) {
-            entry = takeFreeEntry();
+            entry = allocateEntry();
             if (entry == NONE) {
                 return false;
             }
@@ -107,17 +116,17 @@
         return true;
     }
 
-    /** An entry that is free now, or NONE if {@code maxKeys} are in use. */
-    private int takeFreeEntry() {
-        if (firstFree == NONE && used == hashes.length) {
-            if (used >= maxKeys) {
+    /** Returns a free entry, or NONE if {@code maxKeys} entries are in use. */
+    private int allocateEntry() {
+        if (firstFree == NONE && allocatedEntries == hashes.length) {
+            if (allocatedEntries >= maxKeys) {
                 return NONE;
             }
-            allocate(Math.min(maxKeys, used * 2));
+            resizeArrays(Math.min(maxKeys, allocatedEntries * 2));
         }
         size++;
         if (firstFree == NONE) {
-            return used++;
+            return allocatedEntries++;
         }
         int entry = firstFree;
         firstFree = nextInChain[entry];
@@ -130,7 +139,7 @@
         states[entry] = IN_FLIGHT;
     }
 
-    /** An attempt has ended: executed, proven not to have executed, or neither. */
+    /** Records the result of an attempt: executed, proven not executed, or unknown if both flags are false. */
     void recordResult(long hash, boolean executed, boolean provenNotExecuted) {
         int entry = find(hash);
         if (entry == NONE) {
@@ -145,20 +154,20 @@
         }
     }
 
-    /** When the first attempt that may have executed was sent; {@link #NEVER} if none may have. */
+    /** Returns the send time of the first attempt that may have executed, or {@link #NEVER} if there is none. */
     long mayHaveExecutedSince(long hash, long now) {
         advance(now);
         int entry = find(hash);
         return entry == NONE || states[entry] == NOT_EXECUTED || expiresAt[entry] <= now ? NEVER : sentAt[entry];
     }
 
-    /** Keys in memory. */
+    /** Returns the number of keys in the registry. */
     int size() {
         return size;
     }
 
     private int find(long hash) {
-        int entry = chains[chainOf(hash)];
+        int entry = chainHeads[chainIndexOf(hash)];
         while (entry != NONE && hashes[entry] != hash) {
             entry = nextInChain[entry];
         }
@@ -171,7 +180,7 @@
         slots[slot] = entry;
     }
 
-    /** Removes expired entries. Work is bounded by the entries that expire and one turn of the wheel. */
+    /** Removes expired entries. The work is bounded by the number of expiring entries and one turn of the wheel. */
     private void advance(long now) {
         long lastTick = Math.floorDiv(now, TICK_MICROS);
         if (currentTick == Long.MIN_VALUE) {
@@ -196,13 +205,13 @@
     }
 
     private void remove(int entry) {
-        int head = chainOf(hashes[entry]);
+        int chain = chainIndexOf(hashes[entry]);
         int previous = NONE;
-        for (int at = chains[head]; at != entry; at = nextInChain[at]) {
-            previous = at;
+        for (int current = chainHeads[chain]; current != entry; current = nextInChain[current]) {
+            previous = current;
         }
         if (previous == NONE) {
-            chains[head] = nextInChain[entry];
+            chainHeads[chain] = nextInChain[entry];
         } else {
             nextInChain[previous] = nextInChain[entry];
         }
--- a/src/main/java/crankwick/failover/KeyWindows.java
+++ b/src/main/java/crankwick/failover/KeyWindows.java
@@ -3,8 +3,8 @@
 import crankwick.routing.api.AttemptResult;
 
 /**
- * Decides by idempotency keys whether a request may still be sent: databases discard repeats of a key only within
- * a window from the first attempt that may have executed.
+ * Decides whether a request with an idempotency key may still be sent: databases discard repeats of a key only within
+ * the key window, which starts with the first attempt that may have executed.
  */
 final class KeyWindows {
     private final KeyRegistry registry;
@@ -19,26 +19,28 @@
         return registry.hash(groupId, idempotencyKey);
     }
 
-    /** Looks up whether the key of a request may have executed already. */
-    void lookUp(TrackedRequest request, long now) {
+    /** Looks up since when the key of a request may have executed, and stores that time in the request. */
+    void lookUpKey(TrackedRequest request, long now) {
         request.setMayHaveExecutedSince(registry.mayHaveExecutedSince(request.keyHash(), now));
     }
 
-    /** True if the request may have executed and a repeat would no longer reach a database within the window. */
+    /** Returns true if the request may have executed and a repeat would reach a database after the key window. */
     boolean isExpired(TrackedRequest request, long now) {
         return request.mayHaveExecuted() && now >= lastSendAt(request);
     }
 
-    /** Until when releasing a request is of use: to its caller, and within its key's window. */
-    long usefulUntil(TrackedRequest request) {
-        return request.mayHaveExecuted() ? Math.min(request.usefulUntil(), lastSendAt(request)) : request.usefulUntil();
+    /** Returns the latest time at which a request can be released to be answered in time and within its key window. */
+    long releaseDeadline(TrackedRequest request) {
+        return request.mayHaveExecuted()
+                ? Math.min(request.releaseDeadline(), lastSendAt(request))
+                : request.releaseDeadline();
     }
 
     private long lastSendAt(TrackedRequest request) {
         return request.mayHaveExecutedSince() + request.requestClass().keyTtl() - settings.keyMargin();
     }
 
-    /** Records that an attempt is sent now; false if the key cannot be remembered, so that it must not be sent. */
+    /** Records that an attempt is sent now; returns false if the registry is full, and the attempt must not be sent. */
     boolean recordAttempt(TrackedRequest request, long now) {
         if (!request.isKeyed()) {
             request.setAttemptStartsKeyWindow(false);
@@ -49,16 +51,16 @@
         return registry.recordAttempt(hash, now, request.requestClass().keyTtl() + settings.keyRetention());
     }
 
-    /** Records how an attempt has ended. */
+    /** Records the result of an attempt. */
     void recordResult(TrackedRequest request, AttemptResult result, long now) {
         if (request.isKeyed()) {
-            boolean neverExecuted = result.provesNotExecuted() && request.attemptStartsKeyWindow();
-            registry.recordResult(request.keyHash(), result == AttemptResult.OK, neverExecuted);
-            lookUp(request, now);
+            boolean provenNotExecuted = result.provesNotExecuted() && request.attemptStartsKeyWindow();
+            registry.recordResult(request.keyHash(), result == AttemptResult.OK, provenNotExecuted);
+            lookUpKey(request, now);
         }
     }
 
-    /** How many keys are remembered. */
+    /** Returns the number of keys in the registry. */
     int size() {
         return registry.size();
     }
--- a/src/main/java/crankwick/failover/Leadership.java
+++ b/src/main/java/crankwick/failover/Leadership.java
@@ -8,39 +8,47 @@
 import java.util.Map;
 
 /**
- * Who leads one group, as this proxy believes it, in numbered terms. A term begins with a believed claim and
- * changes by evidence only; each {@link PhaseTransition} records its own. The number is this proxy's, not the
- * group's: no message carries one, so claims are dated by when they can have been made, and fenced by the
- * positions that the believed leaders have reported: whoever really leads has all that was acknowledged before
- * (as a fencing token; Gray and Cheriton, "Leases", 1989).
+ * The leader of one group, as far as this proxy knows, in numbered terms. A term begins when a claim to be primary is
+ * accepted. The state changes only on evidence, and each {@link PhaseTransition} records the evidence for it.
+ *
+ * <p>Term numbers are local to this proxy, because no message carries the group's own term. Instead, claims are ordered
+ * by the earliest time at which they can have been made, and fenced by the highest log position that an accepted
+ * leader has reported: the actual leader has all writes that were acknowledged before, so a claim with an earlier
+ * position is outdated (compare fencing tokens; Gray and Cheriton, "Leases", 1989).
  */
 public final class Leadership {
-    /** The state of a group's leadership; only LEADERLESS makes requests wait. */
+    /** The state of a group's leadership; requests are held back for lack of a leader only while LEADERLESS. */
     public enum Phase {
-        /** No endpoint has claimed to lead yet. */
+        /** No endpoint has claimed to be primary yet. */
         UNKNOWN,
-        /** The leader answers. */
+        /** The leader responds. */
         HEALTHY,
-        /** There is evidence against the leader, such as a lost connection; work goes on. */
+        /** There is evidence against the leader, such as a lost connection; requests are still sent to it. */
         SUSPECTED,
-        /** The leader is down, unresponsive, delisted, or denies that it leads. */
+        /** The leader is down, unresponsive, draining or removed, or has denied that it is primary. */
         LEADERLESS,
-        /** A leader has claimed the role and has not served a write yet. */
+        /** A leader has claimed the primary role and has not served a write yet. */
         TAKING_OVER
     }
 
-    /** A change of the phase or the leader, and the evidence for it. */
+    /** A change of the phase or the leader, with the evidence that caused it. */
     public record PhaseTransition(
             long at, Phase from, Phase to, String leader, long term, LeadershipEvidence evidence) {}
 
-    /** A leader observed so recently is not given up for one that led before. */
-    private static final long RECENTLY_OBSERVED_MICROS = 500_000;
-    /** A primary's position is the present: an older one is claimed by an endpoint that has been replaced. */
+    /** A leader observed within this period is not replaced on the claim of a former leader. */
+    private static final long RECENT_OBSERVATION_MICROS = 500_000;
+    /**
+     * A primary's position is the current time; a claim with a position older than this comes from a replaced
+     * leader.
+     */
     private static final long MAX_CLAIM_AGE_MICROS = 1_500_000;
-    /** Positions are rounded to milliseconds on the wires. */
+    /**
+     * Positions are rounded to milliseconds in the wire protocols, so claims are accepted this far behind the
+     * fence.
+     */
     private static final long POSITION_ROUNDING_MICROS = 2_000;
-    /** Earlier than any time, and far enough from the least long that a difference to it does not overflow. */
-    private static final long LONG_AGO = Long.MIN_VALUE / 2;
+    /** Earlier than any real time, but far enough from Long.MIN_VALUE that subtracting it does not overflow. */
+    private static final long DISTANT_PAST = Long.MIN_VALUE / 2;
 
     private static final int MAX_TRANSITIONS = 32;
 
@@ -50,14 +58,14 @@
     private String leader;
     private boolean delisted;
     private long term;
-    private long claimedAsOf = Long.MIN_VALUE;
-    private long lastObservedAt = LONG_AGO;
+    private long latestClaimAsOf = Long.MIN_VALUE;
+    private long lastObservedAt = DISTANT_PAST;
     private long suspectedAt;
     private long leaderlessSince;
     private boolean planned;
-    private long fence = LONG_AGO;
+    private long fence = DISTANT_PAST;
 
-    /** Takes a piece of evidence; false if it is a claim or denial that is not believed. */
+    /** Takes a piece of evidence; returns false if it is a claim or denial that is rejected as outdated. */
     boolean observe(LeadershipEvidence evidence, long now) {
         if (evidence instanceof LeadershipEvidence.RoleReported e) {
             return e.role() == Role.PRIMARY ? onClaim(e, now) : onDenial(e, e.asOf(), now);
@@ -85,8 +93,8 @@
 
     private boolean onClaim(LeadershipEvidence.RoleReported claim, long now) {
         boolean fromLeader = claim.endpointId().equals(leader);
-        boolean believed = fromLeader ? isLeaderClaimBelieved(claim, now) : isChallengeBelieved(claim, now);
-        if (!believed) {
+        boolean accepted = fromLeader ? isLeaderClaimAccepted(claim, now) : isChallengerClaimAccepted(claim, now);
+        if (!accepted) {
             return false;
         }
         if (fromLeader) {
@@ -97,15 +105,15 @@
         return true;
     }
 
-    private boolean isLeaderClaimBelieved(LeadershipEvidence.RoleReported claim, long now) {
+    private boolean isLeaderClaimAccepted(LeadershipEvidence.RoleReported claim, long now) {
         boolean outdated =
                 phase == Phase.LEADERLESS && (isPositionBehind(claim, now) || claim.asOf() <= leaderlessSince);
         return !delisted && !outdated;
     }
 
-    /** Whether an endpoint that is not the leader so far is believed to be so now. */
-    private boolean isChallengeBelieved(LeadershipEvidence.RoleReported claim, long now) {
-        if (isPositionBehind(claim, now) || claim.asOf() < claimedAsOf) {
+    /** Returns true if the claim of an endpoint other than the current leader makes it the new leader. */
+    private boolean isChallengerClaimAccepted(LeadershipEvidence.RoleReported claim, long now) {
+        if (isPositionBehind(claim, now) || claim.asOf() < latestClaimAsOf) {
             return false;
         }
         Long replacedAsOf = replacedLeaders.get(claim.endpointId());
@@ -113,21 +121,21 @@
             return true;
         }
         boolean hasLeader = phase == Phase.HEALTHY || phase == Phase.TAKING_OVER || phase == Phase.SUSPECTED;
-        boolean leaderObserved = hasLeader && now - lastObservedAt < RECENTLY_OBSERVED_MICROS;
-        boolean undated = claim.position() == AbsentValue.NONE && hasLeader;
-        return !leaderObserved && claim.asOf() > replacedAsOf && !undated;
+        boolean leaderObserved = hasLeader && now - lastObservedAt < RECENT_OBSERVATION_MICROS;
+        boolean unverifiable = claim.position() == AbsentValue.NONE && hasLeader;
+        return !leaderObserved && claim.asOf() > replacedAsOf && !unverifiable;
     }
 
-    /** True if the claimed position lies behind what a leader must have. */
+    /** Returns true if the claimed position is behind the fence or older than the maximum claim age. */
     private boolean isPositionBehind(LeadershipEvidence.RoleReported claim, long now) {
         return claim.position() != AbsentValue.NONE
                 && (claim.position() < fence - POSITION_ROUNDING_MICROS
                         || claim.position() < now - MAX_CLAIM_AGE_MICROS);
     }
 
-    /** The leader reports as such: a suspicion that is older than its report is over. */
+    /** Handles a claim of the current leader, which ends a suspicion that is older than the claim. */
     private void onLeaderObserved(LeadershipEvidence.RoleReported claim, long now) {
-        claimedAsOf = Math.max(claimedAsOf, claim.asOf());
+        latestClaimAsOf = Math.max(latestClaimAsOf, claim.asOf());
         lastObservedAt = now;
         fence = Math.max(fence, claim.position());
         if (phase == Phase.LEADERLESS) {
@@ -145,18 +153,18 @@
         leader = claim.endpointId();
         delisted = false;
         term++;
-        claimedAsOf = claim.asOf();
+        latestClaimAsOf = claim.asOf();
         lastObservedAt = now;
         fence = Math.max(fence, claim.position());
         transition(phase == Phase.UNKNOWN ? Phase.HEALTHY : Phase.TAKING_OVER, claim, now);
     }
 
-    /** The leader denies that it leads; a denial older than its last claim is outdated. */
+    /** Handles a denial of the primary role; a leader's denial is outdated unless it is newer than its last claim. */
     private boolean onDenial(LeadershipEvidence denial, long asOf, long now) {
         if (!denial.endpointId().equals(leader)) {
             return true;
         }
-        if (asOf <= claimedAsOf) {
+        if (asOf <= latestClaimAsOf) {
             return false;
         }
         endLeadership(denial, now, now, false);
@@ -189,7 +197,7 @@
         }
     }
 
-    /** A leader has served a write: the failover is over. */
+    /** Handles a write served by the leader, which completes the failover. */
     void writeServed(LeadershipEvidence evidence, long now) {
         if (phase == Phase.TAKING_OVER && evidence.endpointId().equals(leader)) {
             transition(Phase.HEALTHY, evidence, now);
@@ -204,37 +212,43 @@
         phase = to;
     }
 
-    /** An endpoint has been removed for good. */
-    void forget(String endpointId) {
+    /** Removes the record of an endpoint that has been removed from the group. */
+    void removeEndpoint(String endpointId) {
         replacedLeaders.remove(endpointId);
     }
 
-    /** The present phase. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** The endpoint that leads or led last; null before the first claim. */
+    /** Returns the current or, while leaderless, the last leader; null before the first accepted claim. */
     public String leader() {
         return leader;
     }
 
-    /** How many terms have begun so far. */
+    /** Returns the number of the current term, which is the number of terms that have begun. */
     public long term() {
         return term;
     }
 
-    /** Since when a leaderless group has been so, as far as this proxy can tell; microseconds. */
+    /**
+     * Returns the time in microseconds since which the group is, or last was, leaderless, as estimated by this
+     * proxy.
+     */
     public long leaderlessSince() {
         return leaderlessSince;
     }
 
-    /** True if the last failover began with the leader's delisting. */
+    /**
+     * Returns true if the current or last failover began because the endpoint list had the leader as draining or
+     * removed.
+     */
     public boolean isFailoverPlanned() {
         return planned;
     }
 
-    /** The last transitions, the oldest first, with the evidence for each. */
+    /** Returns the most recent transitions, oldest first. */
     public List<PhaseTransition> transitions() {
         return List.copyOf(transitions);
     }
--- a/src/main/java/crankwick/failover/LeadershipEvidence.java
+++ b/src/main/java/crankwick/failover/LeadershipEvidence.java
@@ -3,31 +3,34 @@
 import crankwick.routing.api.Role;
 
 /**
- * An observation that speaks for or against an endpoint's leading its group. {@code asOf} is the earliest time
- * (microseconds) at which it can have been true: what is read late must not pass for news.
+ * An observation for or against an endpoint being the leader of its group. {@code asOf} is the earliest time in
+ * microseconds at which the observation can have been true, so that a delayed message does not count as recent.
  */
 public sealed interface LeadershipEvidence {
-    /** The endpoint that it is about. */
+    /** Returns the observed endpoint. */
     String endpointId();
 
-    /** A response or a load report stated a role; {@code position} is NONE where it stated none. */
+    /** A reply or a load report contained a role; {@code position} is NONE if it contained no log position. */
     record RoleReported(String endpointId, Role role, long position, long asOf) implements LeadershipEvidence {}
 
     /** A write was rejected because the endpoint is not a primary. */
     record WriteRejected(String endpointId, long asOf) implements LeadershipEvidence {}
 
-    /** A connection was refused at once: the process is down. */
+    /** A connection was refused immediately, so the database process is down. */
     record ConnectionRefused(String endpointId) implements LeadershipEvidence {}
 
-    /** A connection was lost with work in flight. */
+    /** A connection was lost with a request in flight. */
     record ConnectionLost(String endpointId) implements LeadershipEvidence {}
 
-    /** A request sent at {@code asOf} was not answered in time. */
+    /** A request sent at {@code asOf} was not answered before its timeout. */
     record Unresponsive(String endpointId, long asOf) implements LeadershipEvidence {}
 
-    /** The endpoint list says that it is draining or removed. */
+    /** The endpoint list has the endpoint as draining or removed, or a full list does not contain it. */
     record Delisted(String endpointId) implements LeadershipEvidence {}
 
-    /** The endpoint list says that it is up; one that was delisted may lead again once it reports so itself. */
+    /**
+     * The endpoint list has the endpoint as up; after {@link Delisted}, it leads again only when it claims the
+     * role.
+     */
     record ListedAsUp(String endpointId) implements LeadershipEvidence {}
 }
--- a/src/main/java/crankwick/failover/ReleaseWindow.java
+++ b/src/main/java/crankwick/failover/ReleaseWindow.java
@@ -3,38 +3,38 @@
 import crankwick.routing.api.AttemptResult;
 
 /**
- * How many requests that were released to a new leader may be open at once: the window grows by one with each
- * attempt that ends in time and shrinks by a factor with each that is late or rejected.
+ * Limits how many requests released to a new leader may be open at the same time. The window grows by one with each
+ * attempt that ends in time, and shrinks by a factor with each attempt that is late or rejected as overloaded.
  */
 final class ReleaseWindow {
     private static final double DECREASE_FACTOR = 0.7;
-    /** An attempt that took longer than this share of the latency objective is late. */
-    private static final double LATE_SHARE = 0.45;
+    /** An attempt that takes longer than this fraction of the latency objective counts as late. */
+    private static final double LATE_FRACTION = 0.45;
 
     private double size;
-    private int open;
+    private int openRequests;
 
-    /** Starts anew for a new leader. */
+    /** Resets the window for a new leader. */
     void reset(int initialSize) {
         size = initialSize;
-        open = 0;
+        openRequests = 0;
     }
 
     boolean hasCapacity() {
-        return open < size;
+        return openRequests < size;
     }
 
     void acquire() {
-        open++;
+        openRequests++;
     }
 
     void release() {
-        open--;
+        openRequests--;
     }
 
-    /** Adapts the window to how an attempt of one of its requests went. */
+    /** Adjusts the window by the result and duration of an attempt of a request counted in it. */
     void onAttemptEnded(AttemptResult result, long duration, long latencyObjective) {
-        boolean late = result == AttemptResult.REJECTED_OVERLOADED || duration > LATE_SHARE * latencyObjective;
+        boolean late = result == AttemptResult.REJECTED_OVERLOADED || duration > LATE_FRACTION * latencyObjective;
         size = late ? Math.max(1, size * DECREASE_FACTOR) : size + 1;
     }
 }
--- a/src/main/java/crankwick/failover/RequestBuffer.java
+++ b/src/main/java/crankwick/failover/RequestBuffer.java
@@ -7,25 +7,26 @@
 import java.util.TreeSet;
 
 /**
- * The requests that wait for one group's primary, in the order of their release: earliest deadline first, where
- * each unit of priority weight brings the deadline forward by {@link #MICROS_PER_WEIGHT_UNIT}. An order that only
- * depends on the request starves none: whatever arrives later has a later deadline.
+ * Buffers requests for one group's primary in order of release: earliest release deadline first, where each unit of
+ * priority weight makes the deadline earlier by {@link #MICROS_PER_WEIGHT_UNIT}. The order depends only on the request
+ * itself, which prevents starvation: requests that arrive later have later deadlines.
  */
 final class RequestBuffer {
     private static final long MICROS_PER_WEIGHT_UNIT = 50_000;
 
     /**
-     * A request that waits.
+     * A buffered request.
      *
-     * @param usefulUntil the last moment at which releasing it can still earn its answer
+     * @param releaseDeadline the latest time at which the request can be released and still be answered in time
      */
-    record BufferedRequest(long requestId, String team, double priorityWeight, long usefulUntil, int statementBytes) {
+    record BufferedRequest(
+            long requestId, String team, double priorityWeight, long releaseDeadline, int statementBytes) {
         long releaseOrder() {
-            return usefulUntil - (long) (priorityWeight * MICROS_PER_WEIGHT_UNIT);
+            return releaseDeadline - (long) (priorityWeight * MICROS_PER_WEIGHT_UNIT);
         }
     }
 
-    /** What a team has buffered over all groups. */
+    /** The number and size of a team's buffered requests over all groups. */
     static final class TeamUsage {
         int requests;
         long bytes;
@@ -39,13 +40,13 @@
     private final FailoverSettings settings;
     private long bytes;
 
-    /** {@code teamUsage}, over all groups, is shared by the buffers of all groups. */
+    /** Creates an empty buffer; {@code teamUsage} is shared by the buffers of all groups. */
     RequestBuffer(FailoverSettings settings, Map<String, TeamUsage> teamUsage) {
         this.settings = settings;
         this.teamUsage = teamUsage;
     }
 
-    /** Adds a request; false if one of the limits forbids it. */
+    /** Adds a request; returns false if it would exceed a limit. */
     boolean add(BufferedRequest request) {
         TeamUsage usage = teamUsage.computeIfAbsent(request.team(), team -> new TeamUsage());
         boolean hasCapacity = byRequestId.size() < settings.maxBufferedPerGroup()
@@ -64,7 +65,7 @@
         return hasCapacity;
     }
 
-    /** Removes a request and returns the capacity that it takes; null if the request is not buffered. */
+    /** Removes a request, frees its capacity and returns the request, or null if it is not buffered. */
     BufferedRequest remove(long requestId) {
         BufferedRequest request = byRequestId.remove(requestId);
         if (request != null) {
@@ -79,12 +80,12 @@
         return request;
     }
 
-    /** The request to be released next; null if none waits. */
+    /** Returns the next request to release, or null if the buffer is empty. */
     BufferedRequest first() {
         return order.isEmpty() ? null : order.first();
     }
 
-    /** All requests, in order of release. */
+    /** Returns a copy of all requests, in order of release. */
     List<BufferedRequest> all() {
         return new ArrayList<>(order);
     }
--- a/src/main/java/crankwick/failover/RequestTracker.java
+++ b/src/main/java/crankwick/failover/RequestTracker.java
@@ -7,9 +7,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that need a primary: their admission, attempts and ends, and the room that they take in buffers. */
+/** Tracks the requests that need a primary: their admission, buffering, attempts and completion. */
 final class RequestTracker {
-    /** A final answer is given this long before the caller's deadline. */
+    /** The final reply is due this long before the client's deadline. */
     private static final long ANSWER_MARGIN_MICROS = 30_000;
 
     private final FailoverSettings settings;
@@ -33,26 +33,26 @@
         this.counters = counters;
     }
 
-    /** A tracked request; null if it needs no primary or is over. */
+    /** Returns a tracked request, or null if the request needs no primary or is finished. */
     TrackedRequest find(long requestId) {
         return tracked.get(requestId);
     }
 
-    /** Requests that are buffered now, over all groups. */
+    /** Returns the number of buffered requests over all groups. */
     int buffered() {
         return buffered;
     }
 
-    /** Decides on a request that has been received. */
-    FailoverAdmission admit(IncomingRequest arrival, long now) {
-        RequestClass requestClass = routing.requestClasses().get(arrival.classIndex());
-        GroupState group = groups.group(arrival.groupId());
+    /** Decides on a received request. */
+    FailoverAdmission admit(IncomingRequest incomingRequest, long now) {
+        RequestClass requestClass = routing.requestClasses().get(incomingRequest.classIndex());
+        GroupState group = groups.group(incomingRequest.groupId());
         if (group == null || !needsPrimary(requestClass)) {
             return FailoverAdmission.ADMIT;
         }
-        TrackedRequest request = newRequest(arrival, requestClass, group, now);
+        TrackedRequest request = newRequest(incomingRequest, requestClass, group, now);
         if (request.isKeyed()) {
-            keys.lookUp(request, now);
+            keys.lookUpKey(request, now);
             if (keys.isExpired(request, now)) {
                 counters.retriesFailed++;
                 return FailoverAdmission.FAIL;
@@ -60,12 +60,12 @@
         }
         if (group.isLeaderless() && !isRecoveryLikely(request, now)) {
             counters.recoveryUnlikely++;
-            return denial(request);
+            return rejectionOrFailure(request);
         }
-        // A leaderless group gets one request, for which the router looks for the new leader.
-        boolean wait =
+        // In a leaderless group one request is admitted, for which the router searches for the new leader.
+        boolean mustBuffer =
                 group.isLeaderless() ? group.hasReleased() : group.buffer().size() > 0;
-        return wait ? buffer(request) : release(request);
+        return mustBuffer ? buffer(request) : release(request);
     }
 
     private static boolean needsPrimary(RequestClass requestClass) {
@@ -73,27 +73,29 @@
                 || requestClass.consistency() == ConsistencyLevel.STRONG;
     }
 
-    private TrackedRequest newRequest(IncomingRequest arrival, RequestClass requestClass, GroupState group, long now) {
-        long latest = arrival.expiresAt() - ANSWER_MARGIN_MICROS;
-        long usefulUntil =
-                requestClass.lateWeight() > 0 ? latest : Math.min(latest, now + requestClass.latencyObjective());
-        long keyHash = TrackedRequest.isKeyed(requestClass, arrival.idempotencyKey())
-                ? keys.hash(arrival.groupId(), arrival.idempotencyKey())
+    private TrackedRequest newRequest(
+            IncomingRequest incomingRequest, RequestClass requestClass, GroupState group, long now) {
+        long latestAnswerAt = incomingRequest.expiresAt() - ANSWER_MARGIN_MICROS;
+        long releaseDeadline = requestClass.lateWeight() > 0
+                ? latestAnswerAt
+                : Math.min(latestAnswerAt, now + requestClass.latencyObjective());
+        long keyHash = TrackedRequest.isKeyed(requestClass, incomingRequest.idempotencyKey())
+                ? keys.hash(incomingRequest.groupId(), incomingRequest.idempotencyKey())
                 : 0;
-        return new TrackedRequest(arrival, requestClass, group, keyHash, usefulUntil);
+        return new TrackedRequest(incomingRequest, requestClass, group, keyHash, releaseDeadline);
     }
 
     private FailoverAdmission buffer(TrackedRequest request) {
-        IncomingRequest arrival = request.arrival();
+        IncomingRequest incomingRequest = request.incomingRequest();
         RequestBuffer.BufferedRequest entry = new RequestBuffer.BufferedRequest(
-                arrival.requestId(),
-                arrival.team(),
+                incomingRequest.requestId(),
+                incomingRequest.team(),
                 request.requestClass().priorityWeight(),
-                request.usefulUntil(),
-                arrival.statementBytes());
+                request.releaseDeadline(),
+                incomingRequest.statementBytes());
         if (!request.group().buffer().add(entry)) {
             counters.limitExceeded++;
-            return denial(request);
+            return rejectionOrFailure(request);
         }
         tracked.put(request.requestId(), request);
         request.buffer();
@@ -109,20 +111,20 @@
         return FailoverAdmission.ADMIT;
     }
 
-    /** The answer to a request that is not admitted must not say that it has not executed where that is unknown. */
-    private static FailoverAdmission denial(TrackedRequest request) {
+    /** Returns FAIL if the request may have executed, because a rejection states that it has not executed. */
+    private static FailoverAdmission rejectionOrFailure(TrackedRequest request) {
         return request.hasUnknownOutcome() ? FailoverAdmission.FAIL : FailoverAdmission.REJECT;
     }
 
-    /** True if the group is likely enough to have a leader in time for the request. */
+    /** Returns true if the probability of a new leader in time for the request reaches the configured minimum. */
     boolean isRecoveryLikely(TrackedRequest request, long now) {
         GroupState group = request.group();
         double probability = group.durations()
-                .successProbability(now - group.leadership().leaderlessSince(), keys.usefulUntil(request) - now);
+                .successProbability(now - group.leadership().leaderlessSince(), keys.releaseDeadline(request) - now);
         return probability >= settings.minSuccessProbability();
     }
 
-    /** Decides whether an attempt may be sent; if so, it counts as sent now. */
+    /** Decides whether an attempt may be sent; a granted attempt counts as sent at {@code now}. */
     AttemptPermit permitAttempt(long requestId, String endpointId, long now) {
         TrackedRequest request = tracked.get(requestId);
         if (request == null) {
@@ -140,7 +142,7 @@
         return AttemptPermit.GRANTED;
     }
 
-    /** An attempt has ended. */
+    /** Handles the end of an attempt. */
     void onAttemptEnded(long requestId, AttemptResult result, long duration, long now) {
         TrackedRequest request = tracked.get(requestId);
         if (request == null || !request.isAttemptInFlight()) {
@@ -156,7 +158,7 @@
         removeIfFinished(request);
     }
 
-    /** A request has its final answer, or its caller has left. */
+    /** Handles the completion of a request: its final reply was sent, or its client has disconnected. */
     void onRequestCompleted(long requestId) {
         TrackedRequest request = tracked.get(requestId);
         if (request != null) {
@@ -169,7 +171,7 @@
         }
     }
 
-    /** A buffered request goes to the router; {@code paced} if the group's release window counts it. */
+    /** Moves a buffered request to the router; {@code paced} if the request counts in the group's release window. */
     void releaseBuffered(TrackedRequest request, boolean paced) {
         GroupState group = request.group();
         removeFromBuffer(request);
--- a/src/main/java/crankwick/failover/TrackedRequest.java
+++ b/src/main/java/crankwick/failover/TrackedRequest.java
@@ -6,11 +6,11 @@
 
 /**
  * A request that needs its group's primary, from its admission until it is answered and has no attempt in flight.
- * Its phase only moves forward; a phase may be skipped.
+ * Its phase only advances; phases may be skipped.
  */
 final class TrackedRequest {
     private enum Phase {
-        ARRIVED,
+        RECEIVED,
         BUFFERED,
         RELEASED,
         ANSWERED
@@ -18,42 +18,49 @@
 
     private static final long NO_TERM = -1;
 
-    private final IncomingRequest arrival;
+    private final IncomingRequest incomingRequest;
     private final RequestClass requestClass;
     private final GroupState group;
     private final long keyHash;
-    private final long usefulUntil;
-    private Phase phase = Phase.ARRIVED;
+    private final long releaseDeadline;
+    private Phase phase = Phase.RECEIVED;
     private long pacedInTerm = NO_TERM;
     private String attemptEndpoint;
     private long mayHaveExecutedSince = KeyRegistry.NEVER;
     private boolean attemptStartsKeyWindow;
 
     /**
-     * A request that has neither been buffered nor released yet.
+     * Creates a request that has been received, and neither buffered nor released.
      *
-     * @param keyHash its key's hash in the {@link KeyRegistry}; of no meaning without a key
-     * @param usefulUntil the last moment at which releasing it can still earn its answer
+     * @param keyHash the hash of the idempotency key in the {@link KeyRegistry}; unused if the request has no key
+     * @param releaseDeadline the latest time at which the request can be released and still be answered in time
      */
     TrackedRequest(
-            IncomingRequest arrival, RequestClass requestClass, GroupState group, long keyHash, long usefulUntil) {
-        this.arrival = arrival;
+            IncomingRequest incomingRequest,
+            RequestClass requestClass,
+            GroupState group,
+            long keyHash,
+            long releaseDeadline) {
+        this.incomingRequest = incomingRequest;
         this.requestClass = requestClass;
         this.group = group;
         this.keyHash = keyHash;
-        this.usefulUntil = usefulUntil;
+        this.releaseDeadline = releaseDeadline;
     }
 
-    /** Whether a request of this class and key is deduplicated by its key. */
+    /** Returns true if a request of this class and key is deduplicated by its key. */
     static boolean isKeyed(RequestClass requestClass, String idempotencyKey) {
         return requestClass.idempotency() == Idempotency.WITH_KEY && idempotencyKey != null;
     }
 
     boolean isKeyed() {
-        return isKeyed(requestClass, arrival.idempotencyKey());
+        return isKeyed(requestClass, incomingRequest.idempotencyKey());
     }
 
-    /** True if its key may have executed, by whatever request, and a repeat elsewhere may execute it again. */
+    /**
+     * Returns true if a request with the same key may have executed and a repeat at another database may execute
+     * again.
+     */
     boolean hasUnknownOutcome() {
         return mayHaveExecuted() && requestClass.deduplicationScope() != DeduplicationScope.FLEET;
     }
@@ -66,12 +73,12 @@
         phase = Phase.BUFFERED;
     }
 
-    /** It goes to the router, outside the group's release window. */
+    /** Marks the request as released without counting it in a release window. */
     void release() {
         phase = Phase.RELEASED;
     }
 
-    /** It goes to the router as one of those that the release window of {@code term} counts. */
+    /** Marks the request as released and counted in the release window of {@code term}. */
     void releasePaced(long term) {
         phase = Phase.RELEASED;
         pacedInTerm = term;
@@ -89,7 +96,10 @@
         attemptEndpoint = null;
     }
 
-    /** True if the attempt to come is the one that starts its key's window: its failure to execute ends the doubt. */
+    /**
+     * Returns true if the last attempt started the key window; if it has not executed, the key has not executed
+     * either.
+     */
     boolean attemptStartsKeyWindow() {
         return attemptStartsKeyWindow;
     }
@@ -102,7 +112,7 @@
         mayHaveExecutedSince = time;
     }
 
-    /** When the first attempt of its key that may have executed was sent, or {@link KeyRegistry#NEVER}. */
+    /** Returns the send time of the key's first attempt that may have executed, or {@link KeyRegistry#NEVER}. */
     long mayHaveExecutedSince() {
         return mayHaveExecutedSince;
     }
@@ -119,7 +129,7 @@
         return attemptEndpoint != null;
     }
 
-    /** True if it is answered and nothing of it is in flight. */
+    /** Returns true if the request is answered and has no attempt in flight. */
     boolean isFinished() {
         return isAnswered() && !isAttemptInFlight();
     }
@@ -128,17 +138,17 @@
         return pacedInTerm == term;
     }
 
-    /** Where its attempt is in flight; null for none. */
+    /** Returns the endpoint at which an attempt is in flight, or null if there is none. */
     String attemptEndpoint() {
         return attemptEndpoint;
     }
 
     long requestId() {
-        return arrival.requestId();
+        return incomingRequest.requestId();
     }
 
-    IncomingRequest arrival() {
-        return arrival;
+    IncomingRequest incomingRequest() {
+        return incomingRequest;
     }
 
     RequestClass requestClass() {
@@ -153,7 +163,7 @@
         return keyHash;
     }
 
-    long usefulUntil() {
-        return usefulUntil;
+    long releaseDeadline() {
+        return releaseDeadline;
     }
 }
--- a/src/main/java/crankwick/failover/package-info.java
+++ b/src/main/java/crankwick/failover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Failovers of primaries: who leads a group by dated evidence, which requests are buffered, and which idempotency keys
- * may have executed. No input or output.
+ * Failovers of primaries: tracks the leader of each group from timestamped evidence, buffers requests while a group has
+ * no leader, and records the idempotency keys that may have executed. Performs no I/O.
  */
 package crankwick.failover;
--- a/src/test/java/crankwick/failover/EvidenceFilterTest.java
+++ b/src/test/java/crankwick/failover/EvidenceFilterTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What becomes evidence, and which reported roles are passed on; one group of a and b, led by a. */
+/** Conversion of observations to evidence, and filtering of reported roles, in one group of a (leader) and b. */
 public class EvidenceFilterTest {
     private static final long START = 1_000_000_000;
     private static final long CONNECT_TIMEOUT = 250_000;
@@ -52,23 +52,23 @@
     }
 
     @Test
-    public void connectionThatFailsEarlyIsARefusal() {
+    public void earlyConnectFailureIsARefusal() {
         assertEquals(phaseAfterUnreachable(199_999), Phase.LEADERLESS);
     }
 
     @Test
-    public void connectionThatFailsLateIsOnlyUnresponsive() {
+    public void connectFailureNearTheTimeoutOnlySuspectsTheLeader() {
         assertEquals(phaseAfterUnreachable(200_000), Phase.SUSPECTED);
     }
 
     @Test
-    public void listNamesNoPrimaryOnceALeaderHasReported() {
+    public void listedPrimaryRoleIsUnknownOnceALeaderHasReported() {
         List<Endpoint> filtered = filter.filterEndpoints(EndpointUpdateKind.INCREMENTAL, List.of(A, B), START + 1);
         assertEquals(filtered, List.of(endpoint("a", Role.UNKNOWN), B));
     }
 
     @Test
-    public void endpointsMissingFromACompleteListAreForgotten() {
+    public void endpointsMissingFromAFullListAreRemoved() {
         filter.filterEndpoints(EndpointUpdateKind.FULL, List.of(B), START + 1);
         assertEquals(groups.group(1).leadership().phase(), Phase.LEADERLESS);
         assertEquals(groups.groupIdOf("a"), AbsentValue.NONE);
@@ -77,14 +77,14 @@
     }
 
     @Test
-    public void outdatedClaimsAreUnknown() {
+    public void roleOfAnOutdatedClaimIsUnknown() {
         LoadReport outdated = report(Role.PRIMARY, START - 3_000);
         assertEquals(filter.filterReport("b", outdated, START + 1).role(), Role.UNKNOWN);
         assertEquals(groups.group(1).leadership().leader(), "a");
     }
 
     @Test
-    public void endpointsThatAreNotListedPassUnfiltered() {
+    public void reportsOfUnlistedEndpointsAreNotFiltered() {
         LoadReport unlisted = report(Role.PRIMARY, START - 3_000);
         assertSame(filter.filterReport("other", unlisted, START), unlisted);
     }
--- a/src/test/java/crankwick/failover/FailoverDurationsTest.java
+++ b/src/test/java/crankwick/failover/FailoverDurationsTest.java
@@ -5,14 +5,14 @@
 
 import org.testng.annotations.Test;
 
-/** How long a failover may still take, by those that were observed. */
+/** Estimates of the remaining duration of a failover. */
 public class FailoverDurationsTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     @Test
     public void successProbabilityFollowsThePriorThenObservations() {
         FailoverDurations durations = new FailoverDurations(2_900_000, 6_600_000);
-        assertEquals(durations.successProbability(0, 2 * MICROS_PER_SECOND), 0.0, "no failover is so short");
+        assertEquals(durations.successProbability(0, 2 * MICROS_PER_SECOND), 0.0, "all samples are longer");
         assertEquals(durations.successProbability(0, 8 * MICROS_PER_SECOND), 1.0);
         double early = durations.successProbability(0, 4 * MICROS_PER_SECOND);
         assertTrue(early > 0.2 && early < 0.4, "" + early);
@@ -20,10 +20,10 @@
             durations.add(MICROS_PER_SECOND);
         }
         assertTrue(durations.successProbability(0, 2 * MICROS_PER_SECOND) > 0.7);
-        assertTrue(durations.remaining(0) <= MICROS_PER_SECOND);
+        assertTrue(durations.medianRemaining(0) <= MICROS_PER_SECOND);
     }
 
-    /** A failover that outlasts all samples is neither without chance of ending soon nor certain to end. */
+    /** A failover longer than all samples gets a success probability between 0 and 1, which falls with age. */
     @Test
     public void successProbabilityBeyondAllSamplesFallsWithAge() {
         FailoverDurations durations = new FailoverDurations(490_000, MICROS_PER_SECOND);
--- a/src/test/java/crankwick/failover/KeyRegistryBenchmark.java
+++ b/src/test/java/crankwick/failover/KeyRegistryBenchmark.java
@@ -18,8 +18,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The cost of one key and of one buffered request with so many of them in memory, beside plain variants: a map of
- * keys that is swept each half second, and a list that is searched. {@code make benchmark} runs it.
+ * Measures the cost of one key operation and of one buffered request by the number of entries in memory, compared with
+ * simple variants: a map of keys that is swept every half second, and a list that is searched linearly. Run by
+ * {@code make benchmark}.
  */
 @State(Scope.Thread)
 @BenchmarkMode({Mode.AverageTime, Mode.SampleTime})
@@ -31,7 +32,7 @@
     private static final long TIME_TO_LIVE = 5_000_000;
     private static final long SWEEP_INTERVAL = 500_000;
 
-    /** How many keys and requests are in memory. */
+    /** The number of keys and requests in memory. */
     @Param({"1000", "1000000"})
     private int entries;
 
@@ -43,7 +44,7 @@
     private long sweptAt;
     private long next;
 
-    /** Fills both registries and both buffers. */
+    /** Fills the key registry, the key map, the buffer and the list. */
     @Setup
     public void fill() {
         registry = new KeyRegistry(entries * 2, 17);
@@ -64,7 +65,7 @@
         next = entries;
     }
 
-    /** The clock goes on so that as many keys end as begin. */
+    /** Advances the clock so that keys expire at the rate at which new keys are added. */
     private String nextKey() {
         now += TIME_TO_LIVE / entries;
         return Long.toHexString(next++ * 0x9E3779B97F4A7C15L);
@@ -75,7 +76,7 @@
                 requestId, "finder", requestId % 7, requestId * 0x9E3779B97F4A7C15L >>> 24, 200);
     }
 
-    /** One key: looked up, sent, ended with an unknown outcome. */
+    /** Looks up a key and records an attempt with an unknown outcome. */
     @Benchmark
     public long keyInRegistry() {
         long hash = registry.hash(3, nextKey());
@@ -85,7 +86,7 @@
         return mayHaveExecutedSince;
     }
 
-    /** The same with a map and a sweep. */
+    /** The same operation with a map and a periodic sweep. */
     @Benchmark
     public long keyInMap() {
         String key = "3:" + nextKey();
@@ -98,7 +99,7 @@
         return known == null ? Long.MAX_VALUE : known[0];
     }
 
-    /** The first request is removed, another is added. */
+    /** Removes the first request and adds another. */
     @Benchmark
     public long requestInBuffer() {
         RequestBuffer.BufferedRequest first = buffer.first();
@@ -107,7 +108,7 @@
         return first.requestId();
     }
 
-    /** The same with a list that is searched. */
+    /** The same operation with a linear search of a list. */
     @Benchmark
     public long requestInList() {
         int earliest = 0;
--- a/src/test/java/crankwick/failover/KeyRegistryTest.java
+++ b/src/test/java/crankwick/failover/KeyRegistryTest.java
@@ -11,12 +11,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The registry against a map with a sweep, on random operations by seed. */
+/** Tests of the key registry, including a comparison with a reference on seeded random operations. */
 public class KeyRegistryTest {
     private static final long TIME_TO_LIVE = 5_000_000;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** The same contract with a map and a sweep over all entries. */
+    /** A reference with the same contract, implemented as a map that is swept on each operation. */
     private static final class ReferenceRegistry {
         private final Map<Long, long[]> entries = new HashMap<>();
 
@@ -56,7 +56,7 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void behavesLikeAMapWithASweep(int seed) {
+    public void matchesReferenceRegistry(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         KeyRegistry registry = new KeyRegistry(10_000, seed);
         ReferenceRegistry reference = new ReferenceRegistry();
@@ -72,9 +72,9 @@
                     reference.recordAttempt(key, now);
                 }
                 case 1 -> {
-                    int how = random.nextInt(3);
-                    registry.recordResult(key, how == 0, how == 1);
-                    reference.recordResult(key, how == 0, how == 1);
+                    int outcome = random.nextInt(3);
+                    registry.recordResult(key, outcome == 0, outcome == 1);
+                    reference.recordResult(key, outcome == 0, outcome == 1);
                 }
                 default -> {
                     assertEquals(
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void isBoundedAndAcceptsKeysAgainOnceOthersHaveExpired() {
+    public void rejectsNewKeysAtCapacityUntilOthersExpire() {
         KeyRegistry registry = new KeyRegistry(100, 1);
         for (int i = 0; i < 100; i++) {
             assertTrue(registry.recordAttempt(registry.hash(1, "a" + i), 1_000, TIME_TO_LIVE));
@@ -99,20 +99,20 @@
         assertFalse(registry.recordAttempt(registry.hash(1, "one more"), 1_000, TIME_TO_LIVE));
         assertTrue(
                 registry.recordAttempt(registry.hash(1, "a5"), 1_000, TIME_TO_LIVE),
-                "a remembered key needs no capacity");
+                "a key in the registry needs no further entry");
         assertTrue(registry.recordAttempt(registry.hash(1, "one more"), 1_000 + TIME_TO_LIVE + 20_000, TIME_TO_LIVE));
         assertEquals(registry.size(), 1);
     }
 
     @Test
-    public void sameKeyInTwoGroupsIsTwoKeys() {
+    public void keysOfDifferentGroupsAreDistinct() {
         KeyRegistry registry = new KeyRegistry(100, 1);
         registry.recordAttempt(registry.hash(1, "k"), 500, TIME_TO_LIVE);
         assertEquals(registry.mayHaveExecutedSince(registry.hash(2, "k"), 600), NEVER);
         assertEquals(registry.mayHaveExecutedSince(registry.hash(1, "k"), 600), 500);
     }
 
-    /** A later attempt extends no window, and one proven not to have executed settles no earlier unknown outcome. */
+    /** A later attempt must not extend the key window, nor clear the unknown outcome of an earlier attempt. */
     @Test
     public void firstAttemptThatMayHaveExecutedStartsTheWindow() {
         KeyRegistry registry = new KeyRegistry(100, 1);
--- a/src/test/java/crankwick/failover/KeyWindowsTest.java
+++ b/src/test/java/crankwick/failover/KeyWindowsTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Until when a key that may have executed is sent again. */
+/** The end of the window within which a key that may have executed may be sent again. */
 public class KeyWindowsTest {
     private static final long START = 1_000_000_000;
     private static final long KEY_TTL = 400_000;
@@ -27,13 +27,13 @@
     }
 
     private TrackedRequest request(long requestId) {
-        IncomingRequest arrival = new IncomingRequest(requestId, 1, "team", 0, "key", 0, START + 3_000_000);
+        IncomingRequest incomingRequest = new IncomingRequest(requestId, 1, "team", 0, "key", 0, START + 3_000_000);
         GroupState group = new GroupState(1, FailoverSettings.DEFAULT, new HashMap<>());
-        return new TrackedRequest(arrival, KEYED_WRITE, group, keys.hash(1, "key"), START + 3_000_000);
+        return new TrackedRequest(incomingRequest, KEYED_WRITE, group, keys.hash(1, "key"), START + 3_000_000);
     }
 
     @Test
-    public void windowEndsItsMarginEarly() {
+    public void keyWindowEndsOneMarginEarly() {
         TrackedRequest request = request(1);
         assertTrue(keys.recordAttempt(request, START));
         keys.recordResult(request, AttemptResult.RESET, START + 1);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void attemptThatNeverExecutedStartsNoWindow() {
+    public void attemptProvenNotExecutedStartsNoWindow() {
         TrackedRequest request = request(1);
         assertTrue(keys.recordAttempt(request, START));
         keys.recordResult(request, AttemptResult.REJECTED_OVERLOADED, START + 1);
@@ -53,7 +53,7 @@
 
     /** The earlier request's attempt is still in flight and may have executed. */
     @Test
-    public void rejectedRetryDoesNotSettleAnEarlierAttempt() {
+    public void rejectedRetryKeepsTheUnknownOutcomeOfAnEarlierAttempt() {
         assertTrue(keys.recordAttempt(request(1), START));
         TrackedRequest retry = request(2);
         assertTrue(keys.recordAttempt(retry, START + 1));
--- a/src/test/java/crankwick/failover/LeadershipTest.java
+++ b/src/test/java/crankwick/failover/LeadershipTest.java
@@ -9,7 +9,7 @@
 import crankwick.routing.api.Role;
 import org.testng.annotations.Test;
 
-/** Which evidence changes the leadership, and which must not; times in microseconds. */
+/** The effect of each kind of evidence on a group's leadership; times in microseconds. */
 public class LeadershipTest {
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long START = 1_000_000 * MICROS_PER_MILLI;
@@ -20,7 +20,7 @@
         return new LeadershipEvidence.RoleReported(endpointId, Role.PRIMARY, at, at);
     }
 
-    /** A group that "a" leads, observed at START. */
+    /** Returns the leadership of a group with leader "a", observed at START. */
     private static Leadership ledByA() {
         Leadership leadership = new Leadership();
         assertTrue(leadership.observe(claim("a", START), START));
@@ -28,7 +28,7 @@
         return leadership;
     }
 
-    /** The same after "a" failed and "b" took over at START + 5 s. */
+    /** Returns the leadership after "a" failed and "b" took over at START + 5 s. */
     private static Leadership ledByB() {
         Leadership leadership = ledByA();
         leadership.observe(new LeadershipEvidence.ConnectionRefused("a"), START + 100 * MICROS_PER_MILLI);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void unresponsiveTwiceEndsLeadershipOnceSuspects() {
+    public void oneTimeoutSuspectsTheLeaderAndASecondEndsItsLeadership() {
         Leadership leadership = ledByA();
         leadership.observe(
                 new LeadershipEvidence.Unresponsive("a", START + 100 * MICROS_PER_MILLI),
@@ -75,12 +75,12 @@
     }
 
     @Test
-    public void claimsOfAReplacedLeaderAreNotBelieved() {
+    public void claimsOfAReplacedLeaderAreRejected() {
         Leadership leadership = ledByB();
         long now = START + 5_100 * MICROS_PER_MILLI;
         assertFalse(
                 leadership.observe(claim("a", START + 99 * MICROS_PER_MILLI), now),
-                "its position is that of its failure");
+                "its position is from before its failure");
         assertFalse(
                 leadership.observe(new LeadershipEvidence.RoleReported("a", Role.PRIMARY, AbsentValue.NONE, now), now),
                 "no position");
@@ -90,14 +90,14 @@
     }
 
     @Test
-    public void lateReadResponsesAreOutdated() {
+    public void denialsSentBeforeTheLatestClaimAreIgnored() {
         Leadership leadership = ledByB();
         assertFalse(
                 leadership.observe(
                         new LeadershipEvidence.RoleReported(
                                 "b", Role.REPLICA, AbsentValue.NONE, START + 4_990 * MICROS_PER_MILLI),
                         START + 5_020 * MICROS_PER_MILLI),
-                "sent before it took over");
+                "the request was sent before b took over");
         assertFalse(leadership.observe(
                 new LeadershipEvidence.WriteRejected("b", START + 4_995 * MICROS_PER_MILLI),
                 START + 5_010 * MICROS_PER_MILLI));
@@ -105,21 +105,21 @@
         leadership.observe(
                 new LeadershipEvidence.WriteRejected("b", START + 5_200 * MICROS_PER_MILLI),
                 START + 5_210 * MICROS_PER_MILLI);
-        assertEquals(leadership.phase(), Phase.LEADERLESS, "a rejected write that is newer than its claim");
+        assertEquals(leadership.phase(), Phase.LEADERLESS, "the rejected write is newer than the claim");
     }
 
     @Test
-    public void delistedLeaderLeadsAgainOnlyOnceListedAndClaiming() {
+    public void delistedLeaderLeadsAgainOnlyAfterRelistingAndANewClaim() {
         Leadership leadership = ledByA();
         leadership.observe(new LeadershipEvidence.Delisted("a"), START + MICROS_PER_MILLI);
         assertEquals(leadership.phase(), Phase.LEADERLESS);
         assertTrue(leadership.isFailoverPlanned());
         assertFalse(
                 leadership.observe(claim("a", START + 50 * MICROS_PER_MILLI), START + 50 * MICROS_PER_MILLI),
-                "it only finishes its open work");
+                "a draining endpoint only completes its open requests");
         assertEquals(leadership.phase(), Phase.LEADERLESS);
         leadership.observe(new LeadershipEvidence.ListedAsUp("a"), START + 100 * MICROS_PER_MILLI);
-        assertEquals(leadership.phase(), Phase.LEADERLESS, "the list alone makes no endpoint lead");
+        assertEquals(leadership.phase(), Phase.LEADERLESS, "a list entry alone is no claim");
         assertTrue(leadership.observe(claim("a", START + 150 * MICROS_PER_MILLI), START + 150 * MICROS_PER_MILLI));
         assertEquals(leadership.phase(), Phase.TAKING_OVER);
     }
@@ -133,10 +133,10 @@
         leadership.observe(new LeadershipEvidence.ConnectionRefused("c"), START + 8_000 * MICROS_PER_MILLI);
         assertFalse(
                 leadership.observe(claim("b", START + 5_400 * MICROS_PER_MILLI), START + 8_000 * MICROS_PER_MILLI),
-                "its claim is from before c's");
+                "the claim is older than c's claim");
         assertTrue(
                 leadership.observe(claim("b", START + 10_000 * MICROS_PER_MILLI), START + 10_000 * MICROS_PER_MILLI),
-                "it may lead again");
+                "a former leader may become leader again");
         assertEquals(leadership.term(), 4);
     }
 
@@ -156,14 +156,14 @@
     }
 
     @Test
-    public void claimOlderThanTheMaximumAgeIsNotBelieved() {
+    public void claimOlderThanTheMaximumAgeIsRejected() {
         assertFalse(new Leadership().observe(claim("a", START - 1_500_001), START));
         assertTrue(new Leadership().observe(claim("a", START - 1_500_000), START));
     }
 
-    /** Positions are rounded on the wires, so a claim may lie a little behind the fence. */
+    /** Positions are rounded in the wire protocols, so a claim up to 2 ms behind the fence is accepted. */
     @Test
-    public void claimBehindTheFenceIsNotBelieved() {
+    public void claimBehindTheFenceIsRejected() {
         Leadership leadership = ledByA();
         leadership.observe(new LeadershipEvidence.ConnectionRefused("a"), START + MICROS_PER_MILLI);
         long now = START + 2 * MICROS_PER_MILLI;
@@ -173,7 +173,7 @@
     }
 
     @Test
-    public void replacedLeaderWithoutPositionIsNotBelievedWhileAnotherLeads() {
+    public void claimOfAReplacedLeaderWithoutPositionIsRejectedWhileAnotherLeads() {
         Leadership leadership = ledByB();
         long now = START + 5_600 * MICROS_PER_MILLI;
         LeadershipEvidence.RoleReported withoutPosition =
--- a/src/test/java/crankwick/failover/ReleaseWindowTest.java
+++ b/src/test/java/crankwick/failover/ReleaseWindowTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How many requests are released to a new leader at once. */
+/** The limit on requests that are released to a new leader and open at the same time. */
 public class ReleaseWindowTest {
     private static final long LATENCY_OBJECTIVE = 100_000;
     private static final long IN_TIME = 45_000;
@@ -21,8 +21,8 @@
         window.reset(4);
     }
 
-    /** Takes all capacity that is left. */
-    private int capacity() {
+    /** Acquires all remaining capacity and returns its amount. */
+    private int acquireAll() {
         int acquired = 0;
         while (window.hasCapacity()) {
             window.acquire();
@@ -32,24 +32,24 @@
     }
 
     @Test
-    public void isClosedBeforeTheFirstLeader() {
+    public void hasNoCapacityBeforeTheFirstLeader() {
         assertFalse(new ReleaseWindow().hasCapacity());
     }
 
     @Test
     public void growsByOneWithEachAttemptInTime() {
-        assertEquals(capacity(), 4);
+        assertEquals(acquireAll(), 4);
         window.onAttemptEnded(AttemptResult.OK, IN_TIME, LATENCY_OBJECTIVE);
-        assertEquals(capacity(), 1);
+        assertEquals(acquireAll(), 1);
     }
 
     @Test
     public void shrinksWithLateAndRejectedAttempts() {
         window.onAttemptEnded(AttemptResult.OK, LATE, LATENCY_OBJECTIVE);
-        assertEquals(capacity(), 3, "2.8 of 4");
+        assertEquals(acquireAll(), 3, "2.8 of 4");
         window.reset(4);
         window.onAttemptEnded(AttemptResult.REJECTED_OVERLOADED, IN_TIME, LATENCY_OBJECTIVE);
-        assertEquals(capacity(), 3, "2.8 of 4");
+        assertEquals(acquireAll(), 3, "2.8 of 4");
     }
 
     @Test
@@ -57,21 +57,21 @@
         for (int i = 0; i < 20; i++) {
             window.onAttemptEnded(AttemptResult.REJECTED_OVERLOADED, IN_TIME, LATENCY_OBJECTIVE);
         }
-        assertEquals(capacity(), 1);
+        assertEquals(acquireAll(), 1);
     }
 
     @Test
-    public void finishedRequestsReturnTheirPlace() {
-        assertEquals(capacity(), 4);
+    public void releaseReturnsCapacity() {
+        assertEquals(acquireAll(), 4);
         window.release();
         window.release();
-        assertEquals(capacity(), 2);
+        assertEquals(acquireAll(), 2);
     }
 
     @Test
-    public void startsAnewForANewLeader() {
-        assertEquals(capacity(), 4);
+    public void resetFreesAllCapacity() {
+        assertEquals(acquireAll(), 4);
         window.reset(4);
-        assertEquals(capacity(), 4);
+        assertEquals(acquireAll(), 4);
     }
 }
--- a/src/test/java/crankwick/failover/RequestBufferTest.java
+++ b/src/test/java/crankwick/failover/RequestBufferTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** The order of buffered requests, and the limits on them. */
+/** Release order and limits of the request buffer. */
 public class RequestBufferTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -37,7 +37,7 @@
         buffer.add(new RequestBuffer.BufferedRequest(1, "t", 1, 10 * MICROS_PER_SECOND, 10));
         buffer.add(new RequestBuffer.BufferedRequest(2, "t", 6, 10 * MICROS_PER_SECOND, 10));
         buffer.add(new RequestBuffer.BufferedRequest(3, "t", 1, 9 * MICROS_PER_SECOND, 10));
-        assertEquals(buffer.first().requestId(), 3, "its deadline is first");
+        assertEquals(buffer.first().requestId(), 3, "earliest deadline");
         buffer.remove(3);
         assertEquals(buffer.first().requestId(), 2, "same deadline, higher weight");
         buffer.remove(2);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void limitsHoldForGroupsTeamsAndBytes() {
+    public void limitsApplyPerGroupAndPerTeam() {
         Map<String, RequestBuffer.TeamUsage> teamUsage = new HashMap<>();
         FailoverSettings settings = withLimits(3, 4, 100, 120);
         RequestBuffer first = new RequestBuffer(settings, teamUsage);
@@ -55,16 +55,20 @@
         assertTrue(first.add(new RequestBuffer.BufferedRequest(1, "a", 1, MICROS_PER_SECOND, 40)));
         assertTrue(first.add(new RequestBuffer.BufferedRequest(2, "a", 1, MICROS_PER_SECOND, 40)));
         assertFalse(
-                first.add(new RequestBuffer.BufferedRequest(3, "a", 1, MICROS_PER_SECOND, 40)), "bytes of the group");
+                first.add(new RequestBuffer.BufferedRequest(3, "a", 1, MICROS_PER_SECOND, 40)),
+                "byte limit of the group");
         assertTrue(first.add(new RequestBuffer.BufferedRequest(4, "b", 1, MICROS_PER_SECOND, 5)));
         assertFalse(
-                first.add(new RequestBuffer.BufferedRequest(5, "b", 1, MICROS_PER_SECOND, 5)), "requests of the group");
+                first.add(new RequestBuffer.BufferedRequest(5, "b", 1, MICROS_PER_SECOND, 5)),
+                "request limit of the group");
         assertTrue(second.add(new RequestBuffer.BufferedRequest(6, "a", 1, MICROS_PER_SECOND, 20)));
         assertFalse(
-                second.add(new RequestBuffer.BufferedRequest(7, "a", 1, MICROS_PER_SECOND, 30)), "bytes of the team");
+                second.add(new RequestBuffer.BufferedRequest(7, "a", 1, MICROS_PER_SECOND, 30)),
+                "byte limit of the team");
         assertTrue(second.add(new RequestBuffer.BufferedRequest(8, "a", 1, MICROS_PER_SECOND, 5)));
         assertFalse(
-                second.add(new RequestBuffer.BufferedRequest(9, "a", 1, MICROS_PER_SECOND, 1)), "requests of the team");
+                second.add(new RequestBuffer.BufferedRequest(9, "a", 1, MICROS_PER_SECOND, 1)),
+                "request limit of the team");
         for (long requestId : new long[] {1, 2, 4}) {
             first.remove(requestId);
         }
