--- a/src/main/java/crankwick/client/AcceptLimiter.java
+++ b/src/main/java/crankwick/client/AcceptLimiter.java
@@ -5,45 +5,45 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
 /**
- * Counts the connections that have a descriptor, where they come and go on the transport's threads. With too many,
- * no further one is accepted until others have ended: a descriptor too many would fail the process.
+ * Limits the connections that use a file descriptor; they are counted on the transport's threads as they open and
+ * close. Above the limit, accepting pauses until connections close: running out of descriptors would fail the process.
  */
 final class AcceptLimiter {
-    /** Connections over the limit until the loop has evicted others. */
+    /** Connections that may be open above the session limit while the event loop evicts others. */
     private static final int SPARE_CONNECTIONS = 16;
 
     private final int maxConnections;
     private volatile TCPNIOServerConnection listener;
     private int connections;
-    private boolean full;
+    private boolean acceptingPaused;
 
     AcceptLimiter(int maxSessions) {
         maxConnections = maxSessions + SPARE_CONNECTIONS;
     }
 
-    void limit(TCPNIOServerConnection accepting) {
-        listener = accepting;
+    void attach(TCPNIOServerConnection serverConnection) {
+        listener = serverConnection;
     }
 
     synchronized void onAccepted() {
         connections++;
-        toggleAccepting();
+        updateAccepting();
     }
 
     synchronized void onClosed() {
         connections--;
-        toggleAccepting();
+        updateAccepting();
     }
 
-    /** True once the last connection has ended, also of those that the loop does not know yet. */
+    /** True if no connection is open; connections that the event loop has not processed yet count as open. */
     synchronized boolean hasNoConnections() {
         return connections == 0;
     }
 
-    private void toggleAccepting() {
-        if (full != connections > maxConnections) {
-            full = !full;
-            Transport.setInterest(listener, IOEvent.SERVER_ACCEPT, !full);
+    private void updateAccepting() {
+        if (acceptingPaused != connections > maxConnections) {
+            acceptingPaused = !acceptingPaused;
+            Transport.setInterest(listener, IOEvent.SERVER_ACCEPT, !acceptingPaused);
         }
     }
 }
--- a/src/main/java/crankwick/client/ByteBudget.java
+++ b/src/main/java/crankwick/client/ByteBudget.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The bytes of one kind that the connections of a listener may hold together; thread-safe. */
+/** Limits the bytes of one kind that a listener's connections retain in total; thread-safe. */
 final class ByteBudget {
     private final long maxBytes;
     private final AtomicLong reserved = new AtomicLong();
@@ -11,12 +11,12 @@
         this.maxBytes = maxBytes;
     }
 
-    /** The bytes that a single connection may hold. */
+    /** The maximum number of bytes that a single connection may reserve. */
     long maxPerConnection() {
         return maxBytes / 2;
     }
 
-    /** Reserves bytes, to be given back with {@link #release}; false if they exceed the budget. */
+    /** Reserves bytes until {@link #release}; returns false and reserves nothing if they exceed the budget. */
     boolean reserve(long bytes) {
         if (reserved.addAndGet(bytes) <= maxBytes) {
             return true;
@@ -34,7 +34,7 @@
         reserved.addAndGet(-bytes);
     }
 
-    /** Bytes that are reserved now. */
+    /** The bytes currently reserved. */
     long reserved() {
         return reserved.get();
     }
--- a/src/main/java/crankwick/client/ClientCommand.java
+++ b/src/main/java/crankwick/client/ClientCommand.java
@@ -3,22 +3,22 @@
 import crankwick.statement.Statement;
 
 /**
- * A command's place among the replies of its session. The event loop owns it; the thread that writes to databases
- * uses only its public methods.
+ * A client's command, queued until its reply is written in order. Owned by the event loop; the thread that writes to
+ * databases uses only the public methods.
  */
 public final class ClientCommand {
     final ClientSession session;
     /** The broker's id for the request. */
     final long requestId;
-    /** What the client sent; null for what the listener itself has to say. */
+    /** The client's message; null for an error that the listener itself reports. */
     final ClientMessage message;
-    /** Null until there is one. */
+    /** Null until the reply is available. */
     ClientReply reply;
-    /** How many commands in a row have this place, and each this reply. */
+    /** The number of consecutive commands that share this queue entry; each gets this reply. */
     long repeatCount = 1;
 
     private final Statement statement;
-    /** Which message of its connection it was, counted from 1; 0 for what the listener itself has to say. */
+    /** The number of the message on its connection, from 1; 0 for an error that the listener itself reports. */
     private final long messageNumber;
 
     private final long readAt;
@@ -38,17 +38,17 @@
         this.readAt = readAt;
     }
 
-    /** What it asks; null where the command is no request. */
+    /** The statement; null if the command is not a request. */
     public Statement statement() {
         return statement;
     }
 
-    /** When it was read, in microseconds of Unix time. */
+    /** When the command was read, in microseconds of Unix time. */
     public long readAt() {
         return readAt;
     }
 
-    /** True once the client has closed its connection or cancelled the command; on any thread. */
+    /** True once the client has closed its connection or cancelled the command. Safe on any thread. */
     public boolean isAbandoned() {
         return session.isAbandoned(messageNumber);
     }
--- a/src/main/java/crankwick/client/ClientCounters.java
+++ b/src/main/java/crankwick/client/ClientCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counters of a listener's client connections since its start; safe on any thread. */
+/** Counters of a listener's client connections since startup; thread-safe. */
 final class ClientCounters {
     private final AtomicLong accepted = new AtomicLong();
     private final AtomicLong rejected = new AtomicLong();
@@ -17,17 +17,17 @@
         accepted.incrementAndGet();
     }
 
-    /** A client was told that there are too many connections. */
+    /** A connection was rejected with the error "too many connections". */
     void countRejected() {
         rejected.incrementAndGet();
     }
 
-    /** A connection ended with commands not answered. */
+    /** A connection closed with unanswered commands. */
     void countClosedUnanswered() {
         closedUnanswered.incrementAndGet();
     }
 
-    /** There was no memory for a read's reply. */
+    /** A read's reply was dropped because it exceeded the reply budget. */
     void countDroppedReply() {
         droppedReplies.incrementAndGet();
     }
@@ -36,18 +36,18 @@
         protocolErrors.incrementAndGet();
     }
 
-    /** A command is beyond what a client may have open, and rejected in its place. */
+    /** A command was rejected because it exceeded the limits on open commands. */
     void countOverLimitCommand() {
         overLimitCommands.incrementAndGet();
     }
 
-    /** Reading from a client was paused for so long. */
+    /** Reading from a client resumed after a pause of this length. */
     void countReadPause(long millis) {
         readPauses.incrementAndGet();
         maxReadPauseMillis.accumulateAndGet(millis, Math::max);
     }
 
-    /** For the line of counters. */
+    /** The counters as {@code name=value} pairs for a log line. */
     @Override
     public String toString() {
         return "accepted=" + accepted + " rejected_connections=" + rejected + " closed_unanswered=" + closedUnanswered
--- a/src/main/java/crankwick/client/ClientListener.java
+++ b/src/main/java/crankwick/client/ClientListener.java
@@ -22,18 +22,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the client connections of one protocol. On each connection the replies keep the order of the commands, each a
- * {@link ClientCommand}; a reply that is ready behind a command without one waits.
+ * Owns the client connections of one protocol. On each connection, replies are sent in the order of the commands, each
+ * a {@link ClientCommand}: a reply is queued until all earlier commands are answered.
  *
- * <p>What a client may have open is bounded: a command beyond that is rejected in its place, clients that do not
- * send, go on or read in time are disconnected, and at the limit of connections those are evicted that need theirs
- * least. A connection is never closed upon a command that has been read: it ends on the thread that reads from it.
+ * <p>The commands that a client may have open are limited; a command over the limits is rejected, with its reply in
+ * order. Clients that do not send a command, complete it or read replies in time are disconnected. At the connection
+ * limit, lingering and idle sessions are evicted. An idle connection is closed on the thread that reads from it, so
+ * that no command is read between the idle check and the close.
  */
 public final class ClientListener {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
-    /** Statements of open commands may take so much of the heap. */
+    /** The maximum heap for statements of open commands. */
     private static final long MAX_STATEMENT_BYTES = Runtime.getRuntime().maxMemory() / 6;
-    /** Values of replies that are not written yet may take so much of the heap. */
+    /** The maximum heap for values of replies that are not written yet. */
     private static final long MAX_REPLY_BYTES = Runtime.getRuntime().maxMemory() / 4;
 
     private static final long OVER_LIMIT_RETRY_AFTER_MICROS = 100_000;
@@ -54,7 +55,7 @@
     private final IdleSweeper sweeper;
     private volatile TCPNIOServerConnection listener;
 
-    /** The codec is the one of the clients' protocol. */
+    /** Creates a listener for the protocol that {@code codec} implements. */
     public ClientListener(
             BrokerEventSink broker, EventLoop loop, Clock clock, CodecFilter codec, ClientSettings settings) {
         this.loop = loop;
@@ -77,21 +78,21 @@
     /** Binds the address and accepts connections. */
     public void listen(Transport transport, InetSocketAddress address) throws IOException {
         listener = transport.bind(address, codec, new Receiver());
-        acceptLimiter.limit(listener);
+        acceptLimiter.attach(listener);
         LOG.info("listening on {}", listener.getLocalAddress());
         sweeper.schedule();
     }
 
-    /** From now on the empty query is answered, those that wait first. */
+    /** Marks the proxy as ready: pending empty queries are answered now, later ones on arrival. */
     public void markReady() {
         admission.markReady();
     }
 
-    /** Stops listening; each connection ends once all that came in on it is answered, which is by then. */
-    public void beginShutdown(long latestMicros) {
+    /** Stops listening and closes each connection once it is idle; requests end by {@code deadlineMicros}. */
+    public void beginShutdown(long deadlineMicros) {
         writer.beginShutdown();
-        admission.limitDeadlines(latestMicros);
-        loop.schedule(Math.max(0, latestMicros - clock.now()), this::stopReading);
+        admission.limitDeadlines(deadlineMicros);
+        loop.schedule(Math.max(0, deadlineMicros - clock.now()), this::stopReading);
         if (listener != null) {
             listener.closeSilently();
         }
@@ -101,8 +102,8 @@
     }
 
     /**
-     * No time is left: requests that are still open fail, and what clients send on connections that never become
-     * idle is left unread.
+     * Runs at the shutdown deadline: fails open requests and stops reading, so that connections with continuous input
+     * become idle and close.
      */
     private void stopReading() {
         requests.expireAll();
@@ -112,27 +113,27 @@
         }
     }
 
-    /** True once the last connection has ended, also of those that the loop does not know yet. */
+    /** True if no connection is open; connections that the event loop has not processed yet count as open. */
     public boolean hasNoConnections() {
         return acceptLimiter.hasNoConnections();
     }
 
-    /** Where it listens; a port that was left open has been chosen by now. */
+    /** The listening address, with the port that was assigned if the configured port is 0. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    /** The counters of client connections, for a line in the log. */
+    /** The counters of client connections, formatted for a log line. */
     public String counters() {
         return counters + " open_bytes=" + statementBudget.reserved() + " answer_bytes=" + replyBudget.reserved();
     }
 
-    /** The open command of a request; null once it is answered or abandoned. */
+    /** The open command of a request; null if the request is answered or abandoned. */
     public ClientCommand findCommand(long requestId) {
         return requests.find(requestId);
     }
 
-    /** Gives a request its reply, unless it has been abandoned. */
+    /** Replies to a request, unless it has been abandoned. */
     public void reply(long requestId, Reply reply) {
         ClientCommand command = requests.remove(requestId);
         if (command != null) {
@@ -144,7 +145,7 @@
         session.idleSinceMicros = clock.now();
         if (!sessions.add(session)) {
             counters.countRejected();
-            writer.endNow(
+            writer.closeAfterReply(
                     session,
                     new ClientReply.ConnectionError(ClientReply.Cause.TOO_MANY_CONNECTIONS, "too many connections"));
         }
@@ -156,7 +157,7 @@
         }
     }
 
-    /** The chain's last filter: hands what the codec has decoded over to the loop. */
+    /** The last filter of the chain: passes decoded messages to the event loop. */
     private final class Receiver extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext context) {
@@ -174,7 +175,7 @@
             ClientSession session = sessionOfConnection.peek(Transport.connection(context));
             List<ClientMessage> messages = context.getMessage();
             long readAt = clock.now();
-            List<ClientMessage> admitted = session.read(messages);
+            List<ClientMessage> admitted = session.onMessagesRead(messages);
             loop.execute(() -> onMessages(session, admitted, readAt));
             return context.getStopAction();
         }
@@ -183,7 +184,7 @@
         public NextAction handleClose(FilterChainContext context) {
             ClientSession session = sessionOfConnection.peek(Transport.connection(context));
             if (session != null) {
-                session.closed();
+                session.onClosed();
                 acceptLimiter.onClosed();
                 loop.execute(() -> sessions.onClosed(session));
             }
--- a/src/main/java/crankwick/client/ClientMessage.java
+++ b/src/main/java/crankwick/client/ClientMessage.java
@@ -2,7 +2,7 @@
 
 /** A message from a client, of any protocol. */
 public sealed interface ClientMessage {
-    /** The bytes of it that are retained until it is answered. */
+    /** The bytes of the message that are retained until it is answered. */
     default int bytes() {
         return 0;
     }
@@ -18,18 +18,18 @@
         }
     }
 
-    /** The empty query, by which the platform checks readiness. */
+    /** The empty query, which the platform sends as a readiness check. */
     record EmptyQuery() implements ClientMessage {}
 
-    /** A command beyond what its client may have open; its text has been dropped. */
+    /** A command that exceeds the limits on open commands; its text has been dropped. */
     record OverLimit() implements ClientMessage {}
 
-    /** The client cancels what it has sent and not been answered (an attention on TDS). */
+    /** The client cancels its unanswered commands (an attention on TDS). */
     record Cancel() implements ClientMessage {}
 
-    /** The client ends the connection. */
+    /** The client closes the connection. */
     record Terminate() implements ClientMessage {}
 
-    /** Malformed input; nothing after it is decoded. */
+    /** Malformed input; no further input is decoded. */
     record ProtocolError(String fault) implements ClientMessage {}
 }
--- a/src/main/java/crankwick/client/ClientReply.java
+++ b/src/main/java/crankwick/client/ClientReply.java
@@ -4,12 +4,12 @@
 
 /** A reply to a client, for any protocol to encode. */
 public sealed interface ClientReply {
-    /** The bytes of the value that it carries; 0 for none. */
+    /** The size of the reply's value in bytes; 0 if there is no value. */
     default int valueBytes() {
         return 0;
     }
 
-    /** Why the proxy ends a connection. */
+    /** Why the proxy closes a connection. */
     enum Cause {
         TOO_MANY_CONNECTIONS,
         UNKNOWN_TEAM,
@@ -30,12 +30,12 @@
         }
     }
 
-    /** A statement was invalid; the connection stays. */
+    /** A statement was invalid; the connection stays open. */
     record InvalidStatement(String fault) implements ClientReply {}
 
-    /** A cancel has been received, and what it cancelled is over. */
+    /** Confirms a cancel; the cancelled commands get no reply. */
     record CancelAcknowledged() implements ClientReply {}
 
-    /** The connection ends after this. */
+    /** An error after which the connection is closed. */
     record ConnectionError(Cause cause, String fault) implements ClientReply {}
 }
--- a/src/main/java/crankwick/client/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -13,23 +13,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One client connection. Its plain fields belong to the event loop; what the selector thread shares with the loop is
- * reached through synchronized methods.
+ * One client connection. The non-private fields belong to the event loop; state that the loop shares with the selector
+ * thread is accessed through synchronized methods.
  *
- * <p>However much a client has open, reading from it goes on: only reading tells that it has closed or
- * cancelled. What it sends beyond the limits is taken in as {@link ClientMessage.OverLimit}, without its text.
+ * <p>Reading continues however many commands a client has open, because a close or a cancel is detected only by
+ * reading. Commands over the limits are read as {@link ClientMessage.OverLimit}, without their text.
  */
 final class ClientSession {
     private static final Logger LOG = LoggerFactory.getLogger(ClientSession.class);
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** A pause is logged that keeps a client's close unread for longer than this. */
+    /** Longer read pauses are logged, because a close by the client is not detected during a pause. */
     private static final long LONG_READ_PAUSE_MILLIS = 50;
 
     private static final int MAX_OPEN_COMMANDS = 1_024;
     private static final long MAX_OPEN_STATEMENT_BYTES = 1 << 20;
-    /** Reading pauses, until the loop has caught up, at so many messages that it has not processed. */
+    /** Reading pauses at this number of unprocessed messages, until the event loop has processed half of them. */
     private static final int MAX_UNDELIVERED_MESSAGES = 4_096;
-    /** Replies wait in their places while so many bytes of earlier ones are not written. */
+    /** Further replies stay queued while this many bytes of earlier replies are not written. */
     private static final long MAX_UNWRITTEN_BYTES = 256 * 1_024;
 
     final Connection<SocketAddress> connection;
@@ -37,15 +37,15 @@
     final Deque<ClientCommand> commands = new ArrayDeque<>();
 
     String team;
-    /** Whether a command has ever come in. */
+    /** Whether the client has ever sent a command. */
     boolean hasSentCommand;
-    /** No further command is accepted: the connection ends behind the replies to earlier ones. */
-    boolean ending;
-    /** The connection is to be closed unless a command has just been read from it. */
-    boolean closeRequested;
+    /** No further command is accepted: the connection closes after the replies to earlier ones. */
+    boolean closing;
+    /** A close is pending; it is abandoned if a command has just been read. */
+    boolean closePending;
 
     long idleSinceMicros;
-    /** When the connection is terminated after its last reply; 0 before that. */
+    /** When the connection is terminated after its last reply; 0 until that reply is queued. */
     long lingerUntilMicros;
 
     private long messagesDelivered;
@@ -53,27 +53,27 @@
     private final ByteBudget statementBudget;
     private final ByteBudget replyBudget;
     private final ClientCounters counters;
-    /** Messages that are not answered yet, and those of them that are held with their text. */
-    private long unanswered;
+    /** Messages that are not answered yet; {@link #openCommands} counts those that count towards the limits. */
+    private long unansweredMessages;
 
     private int openCommands;
     private long openStatementBytes;
-    /** Values of replies that are not written yet. */
+    /** Bytes of the values of replies that are not written yet. */
     private long replyBytes;
 
-    private int undelivered;
+    private int undeliveredMessages;
     private boolean readPaused;
     private long readPausedAtNanos;
     private boolean readingStopped;
     private int unwrittenReplies;
     private long unwrittenBytes;
     private long unwrittenSinceMicros;
-    /** Replies that are ready wait until earlier ones are written. */
+    /** Ready replies stay queued until earlier ones are written. */
     private boolean writeBlocked;
 
     private long messagesRead;
-    /** Messages up to this one are cancelled. */
-    private long cancelledTo;
+    /** The messages up to this number are cancelled. */
+    private long lastCancelledMessage;
 
     private boolean closed;
 
@@ -89,24 +89,24 @@
     }
 
     /**
-     * Messages have been read; they are returned as they are to be handed to the loop, those beyond the limits
-     * without their text. On the selector thread.
+     * Counts messages that have been read. Returns the messages to pass to the event loop, with commands over the
+     * limits replaced by {@link ClientMessage.OverLimit}. Called on the selector thread.
      */
-    synchronized List<ClientMessage> read(List<ClientMessage> messages) {
+    synchronized List<ClientMessage> onMessagesRead(List<ClientMessage> messages) {
         List<ClientMessage> admitted = new ArrayList<>(messages.size());
         for (ClientMessage message : messages) {
             messagesRead++;
             if (message instanceof ClientMessage.Cancel) {
-                cancelledTo = messagesRead;
+                lastCancelledMessage = messagesRead;
             }
             admitted.add(admit(message));
         }
-        unanswered += messages.size();
-        undelivered += messages.size();
-        if (!readPaused && undelivered >= MAX_UNDELIVERED_MESSAGES) {
+        unansweredMessages += messages.size();
+        undeliveredMessages += messages.size();
+        if (!readPaused && undeliveredMessages >= MAX_UNDELIVERED_MESSAGES) {
             readPaused = true;
             readPausedAtNanos = System.nanoTime();
-            toggleReading(false);
+            setReading(false);
         }
         return admitted;
     }
@@ -128,34 +128,34 @@
         return message;
     }
 
-    /** The loop processes a message; returns its number. */
-    synchronized long nextMessage() {
-        undelivered--;
-        if (readPaused && undelivered <= MAX_UNDELIVERED_MESSAGES / 2) {
+    /** Called when the event loop processes a message; returns the number of the message. */
+    synchronized long onMessageDelivered() {
+        undeliveredMessages--;
+        if (readPaused && undeliveredMessages <= MAX_UNDELIVERED_MESSAGES / 2) {
             readPaused = false;
             onReadResumed();
-            toggleReading(!readingStopped);
+            setReading(!readingStopped);
         }
         return ++messagesDelivered;
     }
 
-    /** So many messages in a row like this one have their replies written, or are owed none. */
-    synchronized void onAnswered(ClientMessage message, long times) {
-        unanswered -= times;
+    /** {@code count} consecutive messages like this one have their replies written, or need no reply. */
+    synchronized void onAnswered(ClientMessage message, long count) {
+        unansweredMessages -= count;
         if (message instanceof ClientMessage.Query || message instanceof ClientMessage.EmptyQuery) {
             openCommands--;
-            release(message.bytes());
+            releaseStatement(message.bytes());
         }
     }
 
-    private void release(long bytes) {
-        // Guards against giving back twice what the end of the connection has given back.
+    private void releaseStatement(long bytes) {
+        // Guards against a double release: onClosed() has released all bytes of the session.
         long reserved = Math.min(bytes, openStatementBytes);
         openStatementBytes -= reserved;
         statementBudget.release(reserved);
     }
 
-    /** Takes a reply's bytes into account, until {@link #releaseReply}; false if they are too many. */
+    /** Reserves the bytes of a reply until {@link #releaseReply}; false if they exceed the budget. */
     synchronized boolean reserveReply(long bytes) {
         if (closed) {
             return true;
@@ -165,15 +165,15 @@
         return fits;
     }
 
-    /** The same for a reply that must not be dropped. */
-    synchronized void forceReserveReply(long bytes) {
+    /** Reserves the bytes of a reply that must not be dropped, even if they exceed the budget. */
+    synchronized void reserveReplyUnchecked(long bytes) {
         if (!closed) {
             replyBudget.reserveUnchecked(bytes);
             replyBytes += bytes;
         }
     }
 
-    /** A reply is written, or no longer wanted. */
+    /** Releases the bytes of a reply that is written or no longer needed. */
     synchronized void releaseReply(long bytes) {
         long reserved = Math.min(bytes, replyBytes);
         replyBytes -= reserved;
@@ -184,44 +184,47 @@
         long millis = (System.nanoTime() - readPausedAtNanos) / NANOS_PER_MILLI;
         counters.countReadPause(millis);
         if (millis > LONG_READ_PAUSE_MILLIS) {
-            LOG.info("client {}: reading was paused for {} ms", connection.getPeerAddress(), millis);
+            LOG.info(
+                    "client {}: resumed reading after {} ms (paused at the limit on unprocessed messages)",
+                    connection.getPeerAddress(),
+                    millis);
         }
     }
 
-    /** Reads nothing more; commands that have been read are answered. */
+    /** Stops reading; commands that have been read are still answered. */
     synchronized void stopReading() {
         readingStopped = true;
-        toggleReading(false);
+        setReading(false);
     }
 
-    private void toggleReading(boolean wanted) {
-        Transport.setInterest(connection, IOEvent.READ, wanted);
+    private void setReading(boolean enabled) {
+        Transport.setInterest(connection, IOEvent.READ, enabled);
     }
 
-    /** The client has closed its connection, or it has been ended. On the selector thread. */
-    synchronized void closed() {
+    /** The connection has been closed, by the client or by the proxy. Called on the selector thread. */
+    synchronized void onClosed() {
         closed = true;
-        release(openStatementBytes);
+        releaseStatement(openStatementBytes);
         releaseReply(replyBytes);
     }
 
-    synchronized boolean isAbandoned(long message) {
-        return closed || message > 0 && message <= cancelledTo;
+    synchronized boolean isAbandoned(long messageNumber) {
+        return closed || messageNumber > 0 && messageNumber <= lastCancelledMessage;
     }
 
     /** True if a message has been read that is not answered yet. */
-    synchronized boolean isOwedReply() {
-        return unanswered > 0;
+    synchronized boolean hasUnansweredMessage() {
+        return unansweredMessages > 0;
     }
 
     /**
-     * Closes the connection on the selector thread, once what has arrived is read, so that nothing can
-     * be read in between. It stays where a command has been read but not answered, or a part of one has come in:
-     * {@code whenBusy}.
+     * Closes the connection on the selector thread after pending input is read, so that nothing is read between the
+     * check and the close. If a message is unanswered, or one is partly received while reading is enabled, the
+     * connection stays open and {@code whenBusy} runs.
      */
     void closeUnlessBusy(CodecFilter codec, Runnable whenBusy) {
         Transport.afterPendingReads(connection, () -> {
-            if (isOwedReply() || !isReadingStopped() && codec.hasIncompleteMessage(connection)) {
+            if (hasUnansweredMessage() || !isReadingStopped() && codec.hasIncompleteMessage(connection)) {
                 whenBusy.run();
             } else {
                 connection.terminateSilently();
@@ -233,7 +236,7 @@
         return readingStopped;
     }
 
-    /** True if another reply may be written now; else {@link #onWritten} tells when it may. */
+    /** True if another reply may be written now; otherwise {@link #onWritten} reports when writing may resume. */
     synchronized boolean mayWrite() {
         writeBlocked = unwrittenBytes >= MAX_UNWRITTEN_BYTES;
         return !writeBlocked;
@@ -244,7 +247,7 @@
         unwrittenBytes += bytes;
     }
 
-    /** A reply has been written; true if others have been waiting and may now be written. */
+    /** A reply has been written; returns true if queued replies may now be written. */
     synchronized boolean onWritten(long bytes, long now) {
         unwrittenReplies--;
         unwrittenBytes -= bytes;
@@ -254,18 +257,18 @@
         return unblocked;
     }
 
-    synchronized boolean hasUnreadReplySince(long since) {
+    synchronized boolean hasUnwrittenReplySince(long since) {
         return unwrittenReplies > 0 && unwrittenSinceMicros < since;
     }
 
-    /** True once the last reply has been handed over: the client has some time to read it and to close. */
+    /** True once the last reply is queued for writing: the client has limited time to read it and to close. */
     boolean isLingering() {
         return lingerUntilMicros > 0;
     }
 
-    /** True if its place may be given to a newcomer. */
+    /** True if the session may be evicted in favor of a new one. */
     boolean isEvictable() {
-        return !closeRequested && (isLingering() || isIdle());
+        return !closePending && (isLingering() || isIdle());
     }
 
     boolean isIdle() {
--- a/src/main/java/crankwick/client/ClientSettings.java
+++ b/src/main/java/crankwick/client/ClientSettings.java
@@ -5,11 +5,11 @@
 import java.util.function.Predicate;
 
 /**
- * What a listener accepts.
+ * Settings of a client listener.
  *
- * @param classNames the names of the settings' request classes, in their order
- * @param knownTeam says which teams may log in
- * @param maxSessions client connections at most
+ * @param classNames the names of the request classes in {@code routing}, in the same order
+ * @param knownTeam tests whether a team may log in
+ * @param maxSessions the maximum number of client connections
  */
 public record ClientSettings(
         RoutingSettings routing, List<String> classNames, Predicate<String> knownTeam, int maxSessions) {}
--- a/src/main/java/crankwick/client/CommandAdmission.java
+++ b/src/main/java/crankwick/client/CommandAdmission.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes up what clients have sent: gives each command its place among the replies of its session, and passes requests
- * on to the broker. Lives on the event loop.
+ * Processes the messages of clients: queues each command on its session, so that replies keep the order, and passes
+ * requests to the broker. Confined to the event loop.
  */
 final class CommandAdmission {
     private static final Logger LOG = LoggerFactory.getLogger(CommandAdmission.class);
@@ -27,8 +27,8 @@
     private final OrderedReplyWriter writer;
     private final Reply overLimitReply;
     private boolean ready;
-    /** By then all has to be answered: a request that still comes in may want more time than is left. */
-    private long answerByMicros = Long.MAX_VALUE;
+    /** Caps the deadline of requests during shutdown: their own timeout may exceed the time left. */
+    private long shutdownDeadlineMicros = Long.MAX_VALUE;
 
     CommandAdmission(
             BrokerEventSink broker,
@@ -48,7 +48,7 @@
         this.overLimitReply = overLimitReply;
     }
 
-    /** From now on the empty query is answered; those that wait are answered now. */
+    /** Marks the proxy as ready: answers pending empty queries now and later ones on arrival. */
     void markReady() {
         ready = true;
         for (ClientSession session : sessions.snapshot()) {
@@ -61,15 +61,15 @@
         }
     }
 
-    /** No request is given longer than until then. */
-    void limitDeadlines(long latestMicros) {
-        answerByMicros = latestMicros;
+    /** Caps the deadlines of further requests. */
+    void limitDeadlines(long deadlineMicros) {
+        shutdownDeadlineMicros = deadlineMicros;
     }
 
-    /** Takes up a message that was read at {@code readAt}. */
+    /** Processes a message that was read at {@code readAt}. */
     void onMessage(ClientSession session, ClientMessage message, long readAt) {
-        long number = session.nextMessage();
-        if (session.ending || !sessions.contains(session)) {
+        long number = session.onMessageDelivered();
+        if (session.closing || !sessions.contains(session)) {
             session.onAnswered(message, 1);
         } else if (message instanceof ClientMessage.Query query) {
             session.hasSentCommand = true;
@@ -86,10 +86,13 @@
             ClientCommand command = new ClientCommand(session, requests.nextId(), null, message, number, readAt);
             add(command, new ClientReply.CancelAcknowledged());
         } else if (message instanceof ClientMessage.ProtocolError error) {
-            LOG.debug("client {}: {}", session.connection.getPeerAddress(), error.fault());
-            writer.endWithError(session, ClientReply.Cause.PROTOCOL_ERROR, error.fault());
+            LOG.debug(
+                    "client {}: protocol error, closing the connection: {}",
+                    session.connection.getPeerAddress(),
+                    error.fault());
+            writer.closeWithError(session, ClientReply.Cause.PROTOCOL_ERROR, error.fault());
         } else {
-            session.ending = true;
+            session.closing = true;
             session.onAnswered(message, 1);
             writer.flush(session);
         }
@@ -105,7 +108,7 @@
             ClientCommand command = new ClientCommand(session, requests.nextId(), null, login, number, readAt);
             add(command, new ClientReply.LoginAccepted());
         } else {
-            writer.endWithError(session, ClientReply.Cause.UNKNOWN_TEAM, "unknown team");
+            writer.closeWithError(session, ClientReply.Cause.UNKNOWN_TEAM, "unknown team");
         }
     }
 
@@ -121,13 +124,13 @@
         ClientCommand command = new ClientCommand(session, requests.nextId(), statement, query, number, readAt);
         requests.add(command);
         add(command, null);
-        // The client has been waiting since its command was read; the loop may have been late since.
+        // The timeout counts from when the command was read; the loop may have processed it late.
         long now = clock.now();
-        long remaining = Math.min(readAt + statement.timeoutMillis() * MICROS_PER_MILLI, answerByMicros) - now;
+        long remaining = Math.min(readAt + statement.timeoutMillis() * MICROS_PER_MILLI, shutdownDeadlineMicros) - now;
         broker.publish(new BrokerEvent.RequestReceived(decoder.request(command, Math.max(1, remaining))));
     }
 
-    /** Commands in a row beyond the limits share one place, so that what is kept of them stays bounded. */
+    /** Consecutive commands over the limits share one queue entry, so that memory use stays bounded. */
     private void onOverLimit(ClientSession session, ClientMessage message, long number, long readAt) {
         ClientCommand last = session.commands.peekLast();
         if (last != null && last.message instanceof ClientMessage.OverLimit) {
@@ -139,7 +142,7 @@
         }
     }
 
-    /** Gives a command its place; its reply is null while there is none. */
+    /** Queues a command on its session; {@code reply} is null if it is not available yet. */
     private void add(ClientCommand command, ClientReply reply) {
         command.reply = reply;
         command.session.commands.add(command);
--- a/src/main/java/crankwick/client/OpenRequests.java
+++ b/src/main/java/crankwick/client/OpenRequests.java
@@ -8,51 +8,51 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests that have no reply yet, by id. Lives on the event loop. */
+/** The requests that are not answered yet, by id. Confined to the event loop. */
 final class OpenRequests {
     private final BrokerEventSink broker;
-    private final Map<Long, ClientCommand> open = new HashMap<>();
+    private final Map<Long, ClientCommand> commandsById = new HashMap<>();
     private long lastId;
 
     OpenRequests(BrokerEventSink broker) {
         this.broker = broker;
     }
 
-    /** An id that no other command of the listener has. */
+    /** Returns an id that is unique among the listener's commands. */
     long nextId() {
         return ++lastId;
     }
 
     void add(ClientCommand command) {
-        open.put(command.requestId, command);
+        commandsById.put(command.requestId, command);
     }
 
-    /** Null where the request has its reply or has been abandoned. */
+    /** Null if the request is answered or abandoned. */
     ClientCommand find(long requestId) {
-        return open.get(requestId);
+        return commandsById.get(requestId);
     }
 
-    /** Null where the request has its reply or has been abandoned. */
+    /** Null if the request is answered or abandoned. */
     ClientCommand remove(long requestId) {
-        return open.remove(requestId);
+        return commandsById.remove(requestId);
     }
 
-    /** The client wants no reply to any command it has sent so far. */
+    /** Abandons all commands of the session: the client expects no reply to them. */
     void abandon(ClientSession session, AbandonReason reason) {
         List<ClientCommand> abandoned = new ArrayList<>(session.commands);
         session.commands.clear();
         for (ClientCommand command : abandoned) {
             session.onAnswered(command.message, command.repeatCount);
             session.releaseReply(command.reply == null ? 0 : command.reply.valueBytes());
-            if (open.remove(command.requestId) != null) {
+            if (commandsById.remove(command.requestId) != null) {
                 broker.publish(new BrokerEvent.RequestAbandoned(command.requestId, reason));
             }
         }
     }
 
-    /** Every open request has reached its deadline. */
+    /** Reports to the broker that every open request has reached its deadline. */
     void expireAll() {
-        for (long requestId : List.copyOf(open.keySet())) {
+        for (long requestId : List.copyOf(commandsById.keySet())) {
             broker.publish(new BrokerEvent.DeadlineReached(requestId));
         }
     }
--- a/src/main/java/crankwick/client/OrderedReplyWriter.java
+++ b/src/main/java/crankwick/client/OrderedReplyWriter.java
@@ -9,13 +9,13 @@
 import org.glassfish.grizzly.WriteResult;
 
 /**
- * Writes the replies of each session in the order of its commands, and only so many bytes ahead of what the client
- * reads. Closes sessions behind their last reply. Lives on the event loop.
+ * Writes the replies of each session in the order of its commands, with a limit on bytes that are queued but not
+ * written. Closes sessions after their last reply. Confined to the event loop.
  */
 final class OrderedReplyWriter {
-    /** What a reply takes besides its value, at most. */
+    /** The maximum size of a reply besides its value. */
     private static final int REPLY_OVERHEAD_BYTES = 256;
-    /** After the last reply, what comes in is dropped for so long: a reset would destroy that reply. */
+    /** How long input is read and dropped after the last reply: a reset would destroy that reply. */
     private static final long LINGER_MICROS = 2_000_000;
 
     private final EventLoop loop;
@@ -26,7 +26,7 @@
     private final Reply overLimitReply;
     private boolean shuttingDown;
 
-    /** {@code overLimitReply} takes the place of a read's reply for which there is no memory. */
+    /** {@code overLimitReply} replaces a read's reply that exceeds the reply budget. */
     OrderedReplyWriter(
             EventLoop loop,
             Clock clock,
@@ -42,7 +42,7 @@
         this.overLimitReply = overLimitReply;
     }
 
-    /** From now on a session is closed as soon as it is idle. */
+    /** From now on, sessions are closed as soon as they are idle. */
     void beginShutdown() {
         shuttingDown = true;
     }
@@ -51,10 +51,10 @@
         return shuttingDown;
     }
 
-    /** Writes what is ready, and closes the session if nothing more is to come. */
+    /** Writes ready replies, then closes an idle session if it is closing or the listener is shutting down. */
     void flush(ClientSession session) {
         writeReady(session);
-        if (session.ending && session.isIdle()) {
+        if (session.closing && session.isIdle()) {
             session.lingerUntilMicros = clock.now() + LINGER_MICROS;
             session.connection.closeSilently();
         } else if (shuttingDown && session.isIdle()) {
@@ -62,37 +62,37 @@
         }
     }
 
-    /** Replies to a request; a read's reply for which there is no memory is dropped, as it may be asked for again. */
+    /** Replies to a request; a read's reply over the budget is dropped, as the read may be retried. */
     void reply(ClientCommand command, Reply reply) {
-        command.reply = reserved(command.session, reply);
+        command.reply = reserveOrReplace(command.session, reply);
         flush(command.session);
     }
 
-    private ClientReply reserved(ClientSession session, Reply reply) {
-        ClientReply complete = new ClientReply.RequestReply(reply);
-        if (!session.reserveReply(complete.valueBytes())) {
+    private ClientReply reserveOrReplace(ClientSession session, Reply reply) {
+        ClientReply requestReply = new ClientReply.RequestReply(reply);
+        if (!session.reserveReply(requestReply.valueBytes())) {
             if (reply instanceof Reply.Served served && !served.write()) {
                 counters.countDroppedReply();
                 return new ClientReply.RequestReply(overLimitReply);
             }
-            session.forceReserveReply(complete.valueBytes());
+            session.reserveReplyUnchecked(requestReply.valueBytes());
         }
-        return complete;
+        return requestReply;
     }
 
-    /** Ends a session with an error in its place: the replies to earlier commands go out first. */
-    void endWithError(ClientSession session, ClientReply.Cause cause, String fault) {
+    /** Closes a session with an error, which is sent after the replies to earlier commands. */
+    void closeWithError(ClientSession session, ClientReply.Cause cause, String fault) {
         counters.countProtocolError();
-        session.ending = true;
+        session.closing = true;
         ClientCommand error = new ClientCommand(session, requests.nextId(), null, null, 0, 0);
         error.reply = new ClientReply.ConnectionError(cause, fault);
         session.commands.add(error);
         flush(session);
     }
 
-    /** Writes the last reply at once and ends the sending; the client has some time to read it and to close. */
-    void endNow(ClientSession session, ClientReply lastReply) {
-        session.ending = true;
+    /** Writes the last reply at once and shuts down output; the client has limited time to read it and to close. */
+    void closeAfterReply(ClientSession session, ClientReply lastReply) {
+        session.closing = true;
         session.lingerUntilMicros = clock.now() + LINGER_MICROS;
         session.connection.write(lastReply, new LastReplyHandler(session));
     }
@@ -108,7 +108,7 @@
             }
             session.idleSinceMicros = clock.now();
             if (command.reply instanceof ClientReply.ConnectionError) {
-                endNow(session, command.reply);
+                closeAfterReply(session, command.reply);
             } else {
                 write(session, command);
             }
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Takes a reply off the books once it is written, on whichever thread wrote it. */
+    /** Releases a reply's reserved bytes once it is written, on the thread that completed the write. */
     private final class ReplyHandler extends EmptyCompletionHandler<WriteResult<ClientReply, SocketAddress>> {
         private final ClientSession session;
         private final ClientCommand command;
@@ -149,12 +149,12 @@
 
         @Override
         public void failed(Throwable fault) {
-            // Guards against a client that does not read: its unwritten replies must not pile up.
+            // Guards against a client that does not read: its unwritten replies must not accumulate.
             session.connection.terminateSilently();
         }
     }
 
-    /** Ends the sending behind a session's last reply. */
+    /** Shuts down output after a session's last reply. */
     private static final class LastReplyHandler
             extends EmptyCompletionHandler<WriteResult<ClientReply, SocketAddress>> {
         private final ClientSession session;
--- a/src/main/java/crankwick/client/RequestDecoder.java
+++ b/src/main/java/crankwick/client/RequestDecoder.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Decodes a client's statement, and makes the broker's request of it. */
+/** Decodes a client's statement and builds the request to the broker. */
 final class RequestDecoder {
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final List<RequestClass> classes;
     private final Map<String, Integer> classIndexes = new HashMap<>();
 
-    /** {@code names} are those of the classes, in their order. */
+    /** {@code names} are the names of {@code classes}, in the same order. */
     RequestDecoder(List<RequestClass> classes, List<String> names) {
         this.classes = classes;
         for (int i = 0; i < names.size(); i++) {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Reads a statement; throws IllegalArgumentException that says what is wrong with it. */
+    /** Parses a statement; throws IllegalArgumentException with a message for the client. */
     Statement decode(String text) {
         Statement statement = Statement.parse(text);
         Integer classIndex = classIndexes.get(statement.requestClassName());
@@ -36,7 +36,7 @@
         return statement;
     }
 
-    /** The request of a command whose statement {@link #decode} has read. */
+    /** Builds the request of a command whose statement was parsed by {@link #decode}. */
     ClientRequest request(ClientCommand command, long timeoutMicros) {
         Statement statement = command.statement();
         long requiredPosition =
--- a/src/main/java/crankwick/client/SessionTable.java
+++ b/src/main/java/crankwick/client/SessionTable.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The sessions of a listener: their number is limited, and those at the limit are evicted. Lives on the loop. */
+/** The sessions of a listener. Above the limit, sessions are evicted. Confined to the event loop. */
 final class SessionTable {
     private final EventLoop loop;
     private final CodecFilter codec;
@@ -15,8 +15,8 @@
     private final ClientCounters counters;
     private final int maxSessions;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
-    /** Sessions that are to be closed unless a command has just been read from them. */
-    private int closeRequests;
+    /** The number of sessions with {@link ClientSession#closePending} set. */
+    private int pendingCloses;
 
     SessionTable(EventLoop loop, CodecFilter codec, OpenRequests requests, ClientCounters counters, int maxSessions) {
         this.loop = loop;
@@ -26,7 +26,7 @@
         this.maxSessions = maxSessions;
     }
 
-    /** Adds a session; false if there are too many and none could be evicted for it. */
+    /** Adds a session; returns false if the limit is exceeded and no other session can be evicted. */
     boolean add(ClientSession session) {
         sessions.add(session);
         return !isOverLimit() || evictOne(session);
@@ -36,25 +36,25 @@
         return sessions.contains(session);
     }
 
-    /** All sessions, unaffected by what comes and goes later. */
+    /** A copy of the set of sessions, unaffected by later changes. */
     List<ClientSession> snapshot() {
         return List.copyOf(sessions);
     }
 
     /** True if more than half of the limit is used. */
-    boolean isCrowded() {
+    boolean isOverHalfFull() {
         return sessions.size() > maxSessions / 2;
     }
 
     private boolean isOverLimit() {
-        return sessions.size() - closeRequests > maxSessions;
+        return sessions.size() - pendingCloses > maxSessions;
     }
 
-    /** Evicts a lingering session, else one that has never sent a command, else the longest idle. */
-    private boolean evictOne(ClientSession newcomer) {
+    /** Evicts a lingering session, otherwise one that has never sent a command, otherwise the longest idle. */
+    private boolean evictOne(ClientSession newSession) {
         ClientSession candidate = null;
         for (ClientSession session : sessions) {
-            if (session != newcomer
+            if (session != newSession
                     && session.isEvictable()
                     && (candidate == null || session.isEvictedBefore(candidate))) {
                 candidate = session;
@@ -72,33 +72,33 @@
         return true;
     }
 
-    /** Closes an idle session, unless a command has just been read from it; then another is evicted. */
+    /** Closes an idle session. If a command has just been read from it, evicts another if over the limit. */
     void closeUnlessBusy(ClientSession session) {
-        if (session.closeRequested) {
+        if (session.closePending) {
             return;
         }
-        session.closeRequested = true;
-        closeRequests++;
+        session.closePending = true;
+        pendingCloses++;
         session.closeUnlessBusy(codec, () -> loop.execute(() -> onStillBusy(session)));
     }
 
     private void onStillBusy(ClientSession session) {
-        forgetCloseRequest(session);
+        clearPendingClose(session);
         if (isOverLimit()) {
             evictOne(session);
         }
     }
 
-    private void forgetCloseRequest(ClientSession session) {
-        if (session.closeRequested) {
-            session.closeRequested = false;
-            closeRequests--;
+    private void clearPendingClose(ClientSession session) {
+        if (session.closePending) {
+            session.closePending = false;
+            pendingCloses--;
         }
     }
 
-    /** The session's connection has ended. */
+    /** The session's connection has closed. */
     void onClosed(ClientSession session) {
-        forgetCloseRequest(session);
+        clearPendingClose(session);
         if (sessions.remove(session)) {
             if (!session.commands.isEmpty()) {
                 counters.countClosedUnanswered();
--- a/src/main/java/crankwick/client/package-info.java
+++ b/src/main/java/crankwick/client/package-info.java
@@ -1,2 +1,2 @@
-/** The client side: listener, sessions, admission of commands and the order of their replies. */
+/** The client side: listener, sessions, command admission and ordered replies. */
 package crankwick.client;
--- a/src/main/java/crankwick/runtime/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Hands events to the broker and carries out its effects in order; lives on the event loop. */
+/** Passes events to the broker and executes its effects in order. Confined to the event loop. */
 public final class EffectRunner implements BrokerEventSink {
     private static final Logger LOG = LoggerFactory.getLogger(EffectRunner.class);
 
@@ -35,13 +35,13 @@
         this.clock = clock;
     }
 
-    /** Sets who carries the effects out. */
+    /** Sets the components that execute the effects. */
     public void attachExecutors(ClientListener clientListener, DatabasePool databasePool) {
         clients = clientListener;
         databases = databasePool;
     }
 
-    /** Reduces an event; one that is published by an effect waits until the present event's effects are done. */
+    /** Reduces an event. Events published by an effect are queued until the current event's effects are done. */
     @Override
     public void publish(BrokerEvent event) {
         events.add(event);
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Takes an update of the endpoint list: the pool first, so that the broker names no database unknown to it. */
+    /** Applies an endpoint list update, to the pool first: the broker must not name a database unknown to it. */
     public void updateEndpoints(Discovery.ListUpdate update) {
         List<EndpointAddress> addresses = new ArrayList<>(update.discovered().size());
         for (Discovery.DiscoveredEndpoint discovered : update.discovered()) {
--- a/src/main/java/crankwick/runtime/ForwardedCommand.java
+++ b/src/main/java/crankwick/runtime/ForwardedCommand.java
@@ -4,7 +4,7 @@
 import crankwick.database.CommandSource;
 import crankwick.statement.Statement;
 
-/** A client's command on its way to a database. */
+/** Adapts a client's command to the source of a database attempt. */
 final class ForwardedCommand implements CommandSource {
     private final ClientCommand command;
 
--- a/src/main/java/crankwick/runtime/package-info.java
+++ b/src/main/java/crankwick/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** Joins the broker to the sockets: events go in, and its effects are carried out. */
+/** Connects the broker to the sockets: publishes events to it and executes its effects. */
 package crankwick.runtime;
--- a/src/main/java/crankwick/transport/CodecFilter.java
+++ b/src/main/java/crankwick/transport/CodecFilter.java
@@ -17,14 +17,14 @@
 import org.glassfish.grizzly.memory.MemoryManager;
 
 /**
- * The base of the codec of each protocol: input is decoded into typed messages, which go up the chain as a list;
- * messages are encoded as bytes on the way down. Incomplete input is buffered here, within a budget for all
- * connections of the protocol together. After a protocol error further input is dropped.
+ * Base class of the protocol codecs. Input is decoded into typed messages, which are passed up the filter chain as a
+ * list; messages on the way down are encoded as bytes. Incomplete input is buffered within a budget shared by all
+ * connections of the protocol. After a protocol error, further input is dropped.
  */
 public abstract class CodecFilter extends BaseFilter {
     private static final long NANOS_PER_MICRO = 1_000;
     private static final int MAX_BUFFERED_HEAP_DIVISOR = 8;
-    /** Bounds the input of many peers that each send a part of a large message. */
+    /** Limits the buffered input of many peers that each send part of a large message. */
     private static final long MAX_BUFFERED_BYTES = Runtime.getRuntime().maxMemory() / MAX_BUFFERED_HEAP_DIVISOR;
 
     private final AtomicLong bufferedBytes = new AtomicLong();
@@ -39,42 +39,45 @@
         private ByteBuffer remainder = EMPTY;
         private long reservedBytes;
         private boolean inputExpected = true;
-        private boolean broken;
-        /** While a message is incomplete: when it began, or the last complete one came; else 0. */
+        private boolean inputDropped;
+        /** While a message is incomplete: when it began, or when the last complete one was decoded. Otherwise 0. */
         private volatile long incompleteSinceNanos;
 
-        /** Decodes from the buffer's position; false if a message is incomplete. Throws IllegalArgumentException. */
+        /**
+         * Decodes a message from the buffer's position; returns false if it is incomplete. Throws
+         * IllegalArgumentException with the fault if it is malformed.
+         */
         protected abstract boolean decode(ByteBuffer in, FilterChainContext context);
 
-        /** The message that stands for a protocol error. */
+        /** Creates the message that reports a protocol error. */
         protected abstract Object protocolError(String fault);
 
-        /** The bytes that the decoder itself retains of an incomplete message; 0 between messages. */
+        /** The bytes that the decoder itself buffers of an incomplete message; 0 between messages. */
         protected abstract int partialBytes();
 
-        /** Passes a message up. */
-        protected final void emit(Object value) {
-            decoded.add(value);
+        /** Passes a message up the filter chain. */
+        protected final void emit(Object message) {
+            decoded.add(message);
         }
 
-        /** Passes a message up after which no input is expected until a command goes out. */
-        protected final void emitLast(Object value) {
-            decoded.add(value);
+        /** Passes a message up the filter chain; no input is expected after it until a command is sent. */
+        protected final void emitLast(Object message) {
+            decoded.add(message);
             inputExpected = false;
         }
 
-        /** Writes bytes directly, as a negotiation does. */
+        /** Writes bytes to the peer without the encoder, as negotiation requires. */
         protected final void respond(FilterChainContext context, byte[] bytes) {
             context.write(wrap(bytes));
         }
 
-        /** A command goes out, so that its response may come in. */
+        /** Called when a command is about to be sent: from now on, input is expected. */
         protected void onCommand(Object command) {
             inputExpected = true;
         }
 
         private synchronized List<Object> read(ByteBuffer in, FilterChainContext context, AtomicLong budget) {
-            if (broken) {
+            if (inputDropped) {
                 return List.of();
             }
             decoded = new ArrayList<>(2);
@@ -90,9 +93,9 @@
             return decoded;
         }
 
-        /** Decodes what has come in, and retains the rest; returns what is wrong with it, or null. */
+        /** Decodes complete messages and buffers the rest; returns a description of the fault, or null. */
         private String decodeAll(ByteBuffer in, FilterChainContext context, AtomicLong budget) {
-            ByteBuffer input = remainder.hasRemaining() ? join(in) : in;
+            ByteBuffer input = remainder.hasRemaining() ? append(in) : in;
             int start = input.position();
             String fault = null;
             try {
@@ -106,7 +109,7 @@
                     }
                 }
                 input.position(start);
-                retain(input, in);
+                bufferRemainder(input, in);
                 reserve(remainder.capacity() + partialBytes(), budget);
             } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
                 fault = "a truncated field";
@@ -116,33 +119,33 @@
             return fault;
         }
 
-        /** Keeps what is left of the input; {@code in} is Grizzly's own buffer, of which a copy is made. */
-        private void retain(ByteBuffer input, ByteBuffer in) {
+        /** Buffers undecoded input. {@code in} belongs to Grizzly, so its bytes are copied. */
+        private void bufferRemainder(ByteBuffer input, ByteBuffer in) {
             if (!input.hasRemaining()) {
                 remainder = EMPTY;
             } else {
-                remainder = input == in ? join(EMPTY, in) : input;
+                remainder = input == in ? concat(EMPTY, in) : input;
             }
         }
 
         private void fail(String fault, AtomicLong budget) {
             emit(protocolError(fault));
-            broken = true;
+            inputDropped = true;
             remainder = EMPTY;
             reserve(0, budget);
         }
 
-        private ByteBuffer join(ByteBuffer more) {
+        private ByteBuffer append(ByteBuffer input) {
             int end = remainder.limit();
-            if (remainder.capacity() - end < more.remaining()) {
-                return join(remainder, more);
+            if (remainder.capacity() - end < input.remaining()) {
+                return concat(remainder, input);
             }
-            remainder.limit(end + more.remaining());
-            remainder.put(end, more, more.position(), more.remaining());
+            remainder.limit(end + input.remaining());
+            remainder.put(end, input, input.position(), input.remaining());
             return remainder;
         }
 
-        private static ByteBuffer join(ByteBuffer first, ByteBuffer second) {
+        private static ByteBuffer concat(ByteBuffer first, ByteBuffer second) {
             int length = first.remaining() + second.remaining();
             return ByteBuffer.allocate(Math.max(length, 2 * first.remaining()))
                     .put(first)
@@ -151,46 +154,46 @@
         }
 
         private void reserve(long bytes, AtomicLong budget) {
-            long all = budget.addAndGet(bytes - reservedBytes);
+            long total = budget.addAndGet(bytes - reservedBytes);
             reservedBytes = bytes;
-            if (all > MAX_BUFFERED_BYTES && bytes > 0) {
+            if (total > MAX_BUFFERED_BYTES && bytes > 0) {
                 throw new IllegalArgumentException("no memory is left for what is not whole");
             }
         }
 
         private synchronized void release(AtomicLong budget) {
-            broken = true;
+            inputDropped = true;
             remainder = EMPTY;
             incompleteSinceNanos = 0;
             reserve(0, budget);
         }
     }
 
-    /** The decoder of a new connection. */
+    /** Creates the decoder of a new connection. */
     protected abstract Decoder newDecoder();
 
-    /** The bytes of a message. */
+    /** Encodes a message. */
     public abstract byte[] encode(Object value);
 
-    /** This command goes out next, and its response may come in. To be called on the selector thread. */
+    /** Prepares for the response to a command that is sent next. Must be called on the selector thread. */
     public final void expectResponse(Connection<?> connection, Object command) {
         decoders.peek(connection).onCommand(command);
     }
 
-    /** True if a message has come in incompletely. */
+    /** True if a message has been received only in part. */
     public final boolean hasIncompleteMessage(Connection<?> connection) {
         Decoder decoder = decoders.peek(connection);
         return decoder != null && decoder.incompleteSinceNanos != 0;
     }
 
-    /** True if a message has been incomplete for so many microseconds. */
+    /** True if a message has been incomplete for more than {@code micros} microseconds. */
     public final boolean isStalled(Connection<?> connection, long micros) {
         Decoder decoder = decoders.peek(connection);
         long since = decoder == null ? 0 : decoder.incompleteSinceNanos;
         return since != 0 && System.nanoTime() - since > micros * NANOS_PER_MICRO;
     }
 
-    /** Runs a task on the selector thread, if the connection is still stalled once what has arrived is read. */
+    /** Runs a task on the selector thread if the connection is still stalled after pending input is read. */
     public final void runIfStillStalled(Connection<?> connection, long micros, Runnable task) {
         Transport.afterPendingReads(connection, () -> {
             if (isStalled(connection, micros)) {
@@ -213,12 +216,12 @@
     @Override
     public final NextAction handleRead(FilterChainContext context) throws IOException {
         Buffer in = context.getMessage();
-        List<Object> values = decoders.peek(context.getConnection()).read(in.toByteBuffer(), context, bufferedBytes);
+        List<Object> messages = decoders.peek(context.getConnection()).read(in.toByteBuffer(), context, bufferedBytes);
         in.tryDispose();
-        if (values.isEmpty()) {
+        if (messages.isEmpty()) {
             return context.getStopAction();
         }
-        context.setMessage(values);
+        context.setMessage(messages);
         return context.getInvokeAction();
     }
 
--- a/src/main/java/crankwick/transport/EventLoop.java
+++ b/src/main/java/crankwick/transport/EventLoop.java
@@ -7,23 +7,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread on which state changes: tasks run in the order in which they are handed over, and timers fall due
- * on it.
+ * The single thread on which state changes. Tasks run in the order of submission, and timers fire on the same thread.
  *
- * <p>{@link #close} is the end of it. A task handed over later is dropped, here and without an error: sockets go on
- * reporting until the transport is closed too, and by then nobody is left to hear of it.
+ * <p>Tasks submitted after {@link #close} are dropped without an error: sockets keep reporting events until the
+ * transport is closed too, and no component handles those events any more.
  */
 public final class EventLoop implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final long NANOS_PER_MICRO = 1_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** A timer that is later than this counts as late. */
+    /** A timer that fires later than this after its due time counts as late. */
     private static final long LAG_LOG_THRESHOLD_NANOS = 30 * NANOS_PER_MILLI;
-    /** Logging each late timer would add to the lag. */
+    /** Limits the log rate, because logging each late timer would add to the lag. */
     private static final long LAG_LOG_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
     private final ScheduledThreadPoolExecutor executor;
-    /** Both since lag was last logged, at {@link #lagLoggedAtNanos}. */
+    /** This and {@link #lateTimers} are reset when the lag is logged, at {@link #lagLoggedAtNanos}. */
     private long maxLagNanos;
 
     private int lateTimers;
@@ -41,45 +40,48 @@
         executor.setRejectedExecutionHandler(new ThreadPoolExecutor.DiscardPolicy());
     }
 
-    /** Runs a task on the loop, after those handed over before. */
+    /** Runs a task on the loop, after the tasks submitted earlier. */
     public void execute(Runnable task) {
         executor.execute(guarded(task));
     }
 
-    /** Runs a task on the loop after so many microseconds. */
-    public Timer schedule(long micros, Runnable task) {
-        long due = System.nanoTime() + micros * NANOS_PER_MICRO;
+    /** Runs a task on the loop after {@code delayMicros} microseconds. */
+    public Timer schedule(long delayMicros, Runnable task) {
+        long dueNanos = System.nanoTime() + delayMicros * NANOS_PER_MICRO;
         var future = executor.schedule(
                 guarded(() -> {
-                    long now = System.nanoTime();
-                    noteLag(now - due, now);
+                    long nowNanos = System.nanoTime();
+                    recordLag(nowNanos - dueNanos, nowNanos);
                     task.run();
                 }),
-                Math.max(0, micros),
+                Math.max(0, delayMicros),
                 TimeUnit.MICROSECONDS);
         return () -> future.cancel(false);
     }
 
-    private void noteLag(long lagNanos, long now) {
+    private void recordLag(long lagNanos, long nowNanos) {
         if (lagNanos > LAG_LOG_THRESHOLD_NANOS) {
             lateTimers++;
             maxLagNanos = Math.max(maxLagNanos, lagNanos);
         }
-        if (lateTimers > 0 && now - lagLoggedAtNanos >= LAG_LOG_INTERVAL_NANOS) {
-            LOG.warn("event loop up to {} ms late, {} late timers", maxLagNanos / NANOS_PER_MILLI, lateTimers);
+        if (lateTimers > 0 && nowNanos - lagLoggedAtNanos >= LAG_LOG_INTERVAL_NANOS) {
+            LOG.warn(
+                    "event loop up to {} ms late; {} timers fired over 30 ms late since the last report",
+                    maxLagNanos / NANOS_PER_MILLI,
+                    lateTimers);
             lateTimers = 0;
             maxLagNanos = 0;
-            lagLoggedAtNanos = now;
+            lagLoggedAtNanos = nowNanos;
         }
     }
 
-    /** A fault in one task must not stop the loop: every other request still needs its reply. */
+    /** Logs exceptions of a task: a failed task must not stop the loop, as other requests still need replies. */
     private static Runnable guarded(Runnable task) {
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
-                LOG.error("event loop task failed", e);
+                LOG.error("event loop task failed; continuing with the next task", e);
             }
         };
     }
@@ -89,9 +91,9 @@
         executor.shutdownNow();
     }
 
-    /** A task that has not run yet. */
+    /** A scheduled task. */
     public interface Timer {
-        /** Drops the task, unless it has begun. */
+        /** Cancels the task unless it has started. */
         void cancel();
     }
 }
--- a/src/main/java/crankwick/transport/Transport.java
+++ b/src/main/java/crankwick/transport/Transport.java
@@ -26,10 +26,10 @@
 import org.glassfish.grizzly.threadpool.DefaultWorkerThread;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** The process's one Grizzly transport: a single selector thread that decodes and hands over to the loop. */
+/** The process's Grizzly transport: a single selector thread reads, decodes and passes messages on. */
 public final class Transport implements AutoCloseable {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
-    /** Bounds what a peer that does not read may cost: past this the write fails. */
+    /** Limits the memory for a peer that does not read: writes beyond this limit fail. */
     private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
 
     private static final int ACCEPT_BACKLOG = 1024;
@@ -58,13 +58,13 @@
         transport.start();
     }
 
-    /** As Grizzly makes it, but without its default factory, which is slow at a start. */
+    /** Creates the same thread as Grizzly's default thread factory, which is slow to initialize at startup. */
     private static Thread selectorThread(Runnable task) {
         return new DefaultWorkerThread(
                 Grizzly.DEFAULT_ATTRIBUTE_BUILDER, "selector", MEMORY_MANAGER.createThreadLocalPool(), task);
     }
 
-    /** Listens at an address. */
+    /** Listens on an address. */
     public TCPNIOServerConnection bind(InetSocketAddress address, BaseFilter... filters) throws IOException {
         return TCPNIOBindingHandler.builder(transport)
                 .processor(chain(filters))
@@ -72,32 +72,32 @@
                 .bind(address);
     }
 
-    /** Connects without waiting; to cancel what is returned ends a connection that is not up yet. */
+    /** Connects asynchronously; cancelling the returned future aborts a connection that is not established. */
     public Future<?> connect(
-            SocketAddress address, CompletionHandler<Connection<SocketAddress>> whenUp, FilterChain chain) {
-        var connecting = TCPNIOConnectorHandler.builder(transport)
+            SocketAddress address, CompletionHandler<Connection<SocketAddress>> onConnected, FilterChain chain) {
+        var future = TCPNIOConnectorHandler.builder(transport)
                 .processor(chain)
                 .build()
                 .connect(address);
-        connecting.addCompletionHandler(new Connected(whenUp));
-        return connecting;
+        future.addCompletionHandler(new ConnectHandler(onConnected));
+        return future;
     }
 
-    /** Runs a task on the thread that reads from a connection, after what is under way there. */
+    /** Runs a task on the thread that reads from a connection, after the work in progress there. */
     public static void onSelectorThread(Connection<?> connection, Runnable task) {
         connection.executeInEventThread(IOEvent.WRITE, task);
     }
 
     /**
-     * Runs a task on the thread that reads from a connection, once what has arrived by now is read: whoever
-     * concludes something from a peer's silence has to have listened first. Tasks go before what has arrived on
-     * sockets, but a task that is handed over by a task goes behind it.
+     * Runs a task on the thread that reads from a connection, after input that has already arrived is read. Treating a
+     * peer as silent is valid only then. The selector thread runs queued tasks before it reads from sockets, but a task
+     * queued by another task runs after those reads.
      */
     public static void afterPendingReads(Connection<?> connection, Runnable task) {
         onSelectorThread(connection, () -> onSelectorThread(connection, task));
     }
 
-    /** True if an open connection has nothing to read; to be asked where it reads. */
+    /** True if the connection is open and has no unread input. Must be called on the thread that reads from it. */
     public static boolean isOpenWithoutInput(Connection<?> connection) {
         try {
             return connection.isOpen() && channel(connection).read(ByteBuffer.allocate(1)) == 0;
@@ -106,10 +106,10 @@
         }
     }
 
-    /** Takes a connection's event up, or leaves it to wait. */
-    public static void setInterest(Connection<?> connection, IOEvent event, boolean wanted) {
+    /** Enables or disables an I/O event of a connection; terminates the connection if that fails. */
+    public static void setInterest(Connection<?> connection, IOEvent event, boolean enabled) {
         try {
-            if (wanted) {
+            if (enabled) {
                 connection.enableIOEvent(event);
             } else {
                 connection.disableIOEvent(event);
@@ -119,7 +119,7 @@
         }
     }
 
-    /** Ends the sending, as soon as what has been handed over is sent; reading goes on. */
+    /** Shuts down output after the data already written to the socket; reading continues. */
     public static void shutdownOutput(Connection<?> connection) {
         try {
             channel(connection).shutdownOutput();
@@ -132,13 +132,13 @@
         return (SocketChannel) ((NIOConnection) connection).getChannel();
     }
 
-    /** The context's connection; a TCP transport's is always of socket addresses. */
+    /** The context's connection; connections of a TCP transport always have socket addresses. */
     @SuppressWarnings("unchecked")
     public static Connection<SocketAddress> connection(FilterChainContext context) {
         return context.getConnection();
     }
 
-    /** A connection's filters above the transport itself. */
+    /** Builds a chain of the given filters on top of the transport filter. */
     public static FilterChain chain(BaseFilter... filters) {
         FilterChainBuilder chain = FilterChainBuilder.stateless().add(new TransportFilter());
         for (BaseFilter filter : filters) {
@@ -153,37 +153,37 @@
     }
 
     /**
-     * Grizzly's connector speaks of raw connections; this one place narrows them. No record: it is
-     * hashed there, and a record's first hash code takes a twentieth of a second of a start.
+     * Adapts a typed handler to Grizzly's connector, which uses the raw connection type. Not a record: Grizzly hashes
+     * the handler, and the first hash code of a record takes 50 ms of the startup time.
      */
     @SuppressWarnings("rawtypes")
-    private static final class Connected implements CompletionHandler<Connection> {
-        private final CompletionHandler<Connection<SocketAddress>> inner;
+    private static final class ConnectHandler implements CompletionHandler<Connection> {
+        private final CompletionHandler<Connection<SocketAddress>> delegate;
 
-        Connected(CompletionHandler<Connection<SocketAddress>> inner) {
-            this.inner = inner;
+        ConnectHandler(CompletionHandler<Connection<SocketAddress>> delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void cancelled() {
-            inner.cancelled();
+            delegate.cancelled();
         }
 
         @Override
         public void failed(Throwable fault) {
-            inner.failed(fault);
+            delegate.failed(fault);
         }
 
         @Override
         @SuppressWarnings("unchecked")
         public void completed(Connection connection) {
-            inner.completed(connection);
+            delegate.completed(connection);
         }
 
         @Override
         @SuppressWarnings("unchecked")
         public void updated(Connection connection) {
-            inner.updated(connection);
+            delegate.updated(connection);
         }
     }
 }
