--- a/src/main/java/crankwick/database/AttemptExchange.java
+++ b/src/main/java/crankwick/database/AttemptExchange.java
@@ -7,10 +7,10 @@
 import crankwick.routing.api.Role;
 import java.util.Map;
 
-/** An attempt of a client's request. */
+/** Sends one attempt of a client's request and publishes its outcome to the broker. */
 final class AttemptExchange extends Exchange {
     private static final long MICROS_PER_MILLI = 1_000;
-    /** A command read so recently is sent without another look at its client. */
+    /** A command read within this period is sent without reading its client's further input first. */
     private static final long CLIENT_RECHECK_AGE_MICROS = 10_000;
 
     private final PoolContext context;
@@ -18,7 +18,7 @@
     private final CommandSource source;
     private final Map<Long, AttemptExchange> activeAttempts;
 
-    /** Removes itself from {@code activeAttempts}, by its request's id, as it ends. */
+    /** {@code activeAttempts} is keyed by request id; the exchange removes itself from it when it ends. */
     AttemptExchange(
             PoolContext context,
             Effect.SendAttempt attempt,
@@ -44,11 +44,11 @@
     }
 
     @Override
-    BeginDecision mayBegin() {
+    SendDecision sendDecision() {
         if (context.clock().now() >= attempt.startDeadline()) {
-            return BeginDecision.EXPIRED;
+            return SendDecision.EXPIRED;
         }
-        return source.isAbandoned() ? BeginDecision.ABANDONED : BeginDecision.BEGIN;
+        return source.isAbandoned() ? SendDecision.ABANDONED : SendDecision.SEND;
     }
 
     @Override
--- a/src/main/java/crankwick/database/CommandSource.java
+++ b/src/main/java/crankwick/database/CommandSource.java
@@ -2,7 +2,7 @@
 
 import crankwick.statement.Statement;
 
-/** A client's command as far as the pool needs it to send it to a database; safe on any thread. */
+/** What the pool needs of a client's command to send it to a database; thread-safe. */
 public interface CommandSource {
     /** The statement to run. */
     Statement statement();
--- a/src/main/java/crankwick/database/DatabaseCommand.java
+++ b/src/main/java/crankwick/database/DatabaseCommand.java
@@ -1,6 +1,6 @@
 package crankwick.database;
 
-/** A command to a database, for any protocol to encode. */
+/** A command to a database, independent of the protocol that encodes it. */
 public sealed interface DatabaseCommand {
     /** The first message on a new connection. */
     record Handshake() implements DatabaseCommand {}
@@ -8,6 +8,6 @@
     /** Runs a statement. */
     record Execute(String text) implements DatabaseCommand {}
 
-    /** Asks for the load report: a health check. */
+    /** Requests the load report, as a health check. */
     record RequestLoadReport() implements DatabaseCommand {}
 }
--- a/src/main/java/crankwick/database/DatabaseMessage.java
+++ b/src/main/java/crankwick/database/DatabaseMessage.java
@@ -4,16 +4,16 @@
 import crankwick.routing.api.LoadReport;
 import crankwick.routing.api.Role;
 
-/** A message from a database, of any protocol. */
+/** A message from a database, independent of the protocol that decoded it. */
 public sealed interface DatabaseMessage {
-    /** The handshake is over: the connection takes statements. */
+    /** The handshake is complete: the connection accepts statements. */
     record ConnectionReady() implements DatabaseMessage {}
 
-    /** The complete response to a command; {@code closesConnection} if the database ends the connection after it. */
+    /** The complete response to a command; {@code closesConnection} if the database closes the connection after it. */
     record Response(
             AttemptResult result, Role role, long position, LoadReport report, byte[] value, boolean closesConnection)
             implements DatabaseMessage {}
 
-    /** Malformed input; the connection is to be closed. */
+    /** Malformed input; the connection must be closed. */
     record ProtocolError(String fault) implements DatabaseMessage {}
 }
--- a/src/main/java/crankwick/database/DatabasePool.java
+++ b/src/main/java/crankwick/database/DatabasePool.java
@@ -19,16 +19,17 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Owns the connections to databases. A connection carries one {@link Exchange} at a time; it is given back in
- * {@link PooledConnection.Owner#release} or ended in {@link PooledConnection#discard}. Lives on the event loop.
+ * Pool of connections to all databases. A connection serves one {@link Exchange} at a time; it returns to the pool in
+ * {@link PooledConnection.Owner#release} and is closed in {@link PooledConnection#discard}. Confined to the event
+ * loop.
  */
 public final class DatabasePool {
     private static final long HEALTH_CHECK_TIMEOUT_MICROS = 250_000;
-    /** An idle connection ends well before the database would end it under a request. */
+    /** Idle connections are closed well before the database's idle timeout could close them under a request. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
     private static final long REAP_INTERVAL_MICROS = 1_000_000;
-    /** A connection is not used so soon after a response: unsolicited bytes behind it come to light by then. */
+    /** A connection is not reused this soon after a response, so that unsolicited bytes after it are detected. */
     private static final long POST_RESPONSE_QUARANTINE_MICROS = 10_000;
 
     private static final long STALL_CHECK_INTERVAL_MICROS = 50_000;
@@ -45,7 +46,7 @@
     private final PooledConnection.Owner owner = new ConnectionOwner();
     private int connections;
 
-    /** The codec is the one of the databases' protocol. */
+    /** {@code codec} implements the protocol of the databases. */
     public DatabasePool(
             BrokerEventSink broker,
             EventLoop loop,
@@ -63,21 +64,21 @@
         loop.after(STALL_CHECK_INTERVAL_MICROS, this::checkStalledResponses);
     }
 
-    /** The counters of connections to databases, for a line in the log. */
+    /** The counters of connections to databases, formatted for the log. */
     public String counters() {
         return context.counters().toString();
     }
 
-    /** Takes an update of the endpoint list in. */
+    /** Applies an update of the endpoint list. */
     public void updateEndpoints(EndpointUpdateKind kind, List<EndpointAddress> entries) {
         hosts.update(kind, entries, context.clock().now());
     }
 
-    /** Makes an attempt of a client's request. */
+    /** Starts an attempt of a client's request. */
     public void send(Effect.SendAttempt attempt, CommandSource source) {
         AttemptExchange exchange = new AttemptExchange(context, attempt, source, activeAttempts);
         activeAttempts.put(attempt.requestId(), exchange);
-        begin(exchange);
+        dispatch(exchange);
     }
 
     /** Aborts a request's attempt, which the broker has already recorded as ended. */
@@ -89,7 +90,7 @@
         }
     }
 
-    /** Ends an attempt of which nothing has been written; one that has begun goes on. */
+    /** Ends a request's attempt unless writing its command has begun; otherwise the attempt continues. */
     public void cancelQueued(long requestId) {
         AttemptExchange exchange = activeAttempts.get(requestId);
         if (exchange != null) {
@@ -97,18 +98,18 @@
         }
     }
 
-    /** Asks a database for its load report. */
+    /** Starts a health check: requests a database's load report. */
     public void checkHealth(String endpointId) {
         HealthCheckExchange exchange = new HealthCheckExchange(context, endpointId);
         context.loop().after(HEALTH_CHECK_TIMEOUT_MICROS, () -> exchange.abort(AttemptResult.TIMEOUT));
-        begin(exchange);
+        dispatch(exchange);
     }
 
-    /** Over a connection out of quarantine, else over one that is in it, else over a new one. */
-    private void begin(Exchange exchange) {
+    /** Uses an idle connection past its quarantine, else one still in quarantine, else a new connection. */
+    private void dispatch(Exchange exchange) {
         Host host = hosts.find(exchange.endpointId());
         long quarantinedAfter = context.clock().now() - POST_RESPONSE_QUARANTINE_MICROS;
-        PooledConnection usable = host == null ? null : host.takeLastUsed(quarantinedAfter);
+        PooledConnection usable = host == null ? null : host.takeMostRecentlyUsed(quarantinedAfter);
         PooledConnection quarantined = host == null || usable != null ? null : host.takeLongestIdle();
         if (usable != null) {
             usable.start(exchange);
@@ -127,7 +128,7 @@
         new PooledConnection(context, owner, exchange, connectTimeoutMicros).connect(transport, address, chain);
     }
 
-    /** Makes room for a new connection; false if none is idle. */
+    /** Closes the longest idle connection to make room for a new one; false if none is idle. */
     private boolean evictLongestIdle() {
         PooledConnection longest = hosts.longestIdle();
         if (longest != null) {
@@ -148,7 +149,7 @@
         context.loop().after(STALL_CHECK_INTERVAL_MICROS, this::checkStalledResponses);
     }
 
-    /** Keeps the books on the connections. */
+    /** Maintains the connection count, the idle connections and the lookup by socket. */
     private final class ConnectionOwner implements PooledConnection.Owner {
         @Override
         public void onConnected(Connection<SocketAddress> socket, PooledConnection connection) {
@@ -175,11 +176,11 @@
 
         @Override
         public void reassign(Exchange unsent) {
-            begin(unsent);
+            dispatch(unsent);
         }
     }
 
-    /** The chain's last filter: hands what the codec has decoded over to the loop. */
+    /** The last filter of the chain: passes decoded messages and closes to the event loop. */
     private final class Receiver extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext filterContext) {
--- a/src/main/java/crankwick/database/Exchange.java
+++ b/src/main/java/crankwick/database/Exchange.java
@@ -4,8 +4,8 @@
 import crankwick.transport.Clock;
 
 /**
- * One command to a database and its response. It is carried by one {@link PooledConnection} at a time, may move to
- * another while nothing of it has been written, and ends once, in {@link #end}.
+ * One command to a database and its response. An exchange is assigned to one {@link PooledConnection} at a time, may
+ * move to another until its first byte is written, and ends once, in {@link #end}.
  */
 abstract class Exchange {
     private final String endpointId;
@@ -20,31 +20,31 @@
         startedAtMicros = clock.now();
     }
 
-    /** The command, made where and when it is written. */
+    /** Creates the command; called on the selector thread just before the command is written. */
     abstract DatabaseCommand command();
 
-    /** True where what the client has sent since its command was read must be read before this is sent. */
+    /** True if the client's further input, such as a cancel, must be read before the command is sent. */
     abstract boolean requiresClientRecheck();
 
-    /** Whether the first byte may be written; asked on the thread that writes it. */
-    abstract BeginDecision mayBegin();
+    /** Whether the first byte may be written; called on the selector thread that writes it. */
+    abstract SendDecision sendDecision();
 
-    /** The command has been written as a whole. */
+    /** The command has been written completely. */
     abstract void onWritten();
 
-    /** The exchange has ended; {@code response} is null where there is none. */
+    /** The exchange has ended; {@code response} is null if there is none. */
     abstract void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Response response);
 
     final String endpointId() {
         return endpointId;
     }
 
-    /** Names the connection that carries this; null while there is none. */
-    final void carriedBy(PooledConnection carrier) {
-        connection = carrier;
+    /** Sets the connection that serves this exchange; null for none. */
+    final void assignTo(PooledConnection assigned) {
+        connection = assigned;
     }
 
-    /** Drops whatever comes of the exchange from now on. */
+    /** Suppresses the outcome: {@link #onEnded} is not called from now on. */
     final void detach() {
         detached = true;
     }
@@ -56,21 +56,21 @@
         }
     }
 
-    /** Ends the exchange if nothing of its command has been written; its connection stays. */
+    /** Ends the exchange unless writing its command has begun; the connection stays open. */
     final void cancelQueued(AttemptResult result) {
-        if (isCarried()) {
+        if (isAssigned()) {
             connection.cancelQueued(result);
         }
     }
 
-    /** Ends the exchange in any case: a connection that has its command ends with it. */
+    /** Ends the exchange in any state; closes its connection if writing the command has begun. */
     final void abort(AttemptResult result) {
-        if (isCarried() && !connection.cancelQueued(result)) {
+        if (isAssigned() && !connection.cancelQueued(result)) {
             connection.discard(result);
         }
     }
 
-    private boolean isCarried() {
-        return connection != null && connection.carries(this);
+    private boolean isAssigned() {
+        return connection != null && connection.isAssigned(this);
     }
 }
--- a/src/main/java/crankwick/database/HealthCheckExchange.java
+++ b/src/main/java/crankwick/database/HealthCheckExchange.java
@@ -3,7 +3,7 @@
 import crankwick.broker.BrokerEvent;
 import crankwick.routing.api.AttemptResult;
 
-/** A health check: it asks a database for its load report. */
+/** A health check: requests a database's load report. */
 final class HealthCheckExchange extends Exchange {
     private final PoolContext context;
 
@@ -23,13 +23,13 @@
     }
 
     @Override
-    BeginDecision mayBegin() {
-        return BeginDecision.BEGIN;
+    SendDecision sendDecision() {
+        return SendDecision.SEND;
     }
 
     @Override
     void onWritten() {
-        // The broker times health checks by their end alone.
+        // The broker needs only the end of a health check.
     }
 
     @Override
--- a/src/main/java/crankwick/database/Host.java
+++ b/src/main/java/crankwick/database/Host.java
@@ -8,23 +8,23 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** One database as the pool knows it: its address and its idle connections. Lives on the event loop. */
+/** A database in the pool: its address and its idle connections. Confined to the event loop. */
 final class Host {
     private static final long NOT_REMOVED = Long.MAX_VALUE;
 
-    /** Connections without an exchange, the longest idle first. */
+    /** Connections without an exchange, longest idle first. */
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
-    /** Null where the endpoint list has never named the host, or no longer does. */
+    /** Null before the endpoint list names the host, and after {@link #unlist}. */
     private EndpointAddress listed;
 
     private long removedAtMicros = NOT_REMOVED;
 
-    /** Null where the host is not listed. */
+    /** The database's address; null if the host is not listed. */
     SocketAddress address() {
         return listed == null ? null : listed.address();
     }
 
-    /** Takes an entry of the endpoint list in; connections to an earlier process or address are not used again. */
+    /** Applies an entry of the endpoint list; closes idle connections to an earlier process or address. */
     void update(EndpointAddress entry, long nowMicros) {
         EndpointAddress known = listed;
         boolean removed = entry.endpoint().status() == EndpointStatus.REMOVED;
@@ -42,24 +42,24 @@
         }
     }
 
-    /** The endpoint list no longer names the host; the first such time counts. */
+    /** Records that the endpoint list no longer names the host; repeated calls keep the first time. */
     void markRemoved(long nowMicros) {
         if (listed != null && removedAtMicros == NOT_REMOVED) {
             removedAtMicros = nowMicros;
         }
     }
 
-    boolean isRemovedBefore(long micros) {
+    boolean wasRemovedBefore(long micros) {
         return removedAtMicros < micros;
     }
 
-    /** Forgets the address. */
+    /** Clears the address and the removal time. */
     void unlist() {
         listed = null;
         removedAtMicros = NOT_REMOVED;
     }
 
-    /** True if nothing is known of the host and nothing connected to it is idle. */
+    /** True if the host is not listed and has no idle connections. */
     boolean isUnused() {
         return listed == null && idle.isEmpty();
     }
@@ -72,25 +72,25 @@
         idle.remove(connection);
     }
 
-    /** Takes the connection that was used last, of those idle since then or longer; null if there is none. */
-    PooledConnection takeLastUsed(long idleSinceMicros) {
-        Iterator<PooledConnection> lastUsedFirst = idle.descendingIterator();
-        while (lastUsedFirst.hasNext()) {
-            PooledConnection connection = lastUsedFirst.next();
+    /** Removes and returns the most recently used connection idle since that time or earlier; null if none. */
+    PooledConnection takeMostRecentlyUsed(long idleSinceMicros) {
+        Iterator<PooledConnection> mostRecentFirst = idle.descendingIterator();
+        while (mostRecentFirst.hasNext()) {
+            PooledConnection connection = mostRecentFirst.next();
             if (connection.idleSinceMicros() <= idleSinceMicros) {
-                lastUsedFirst.remove();
+                mostRecentFirst.remove();
                 return connection;
             }
         }
         return null;
     }
 
-    /** Takes the connection that has been idle longest; null if there is none. */
+    /** Removes and returns the longest idle connection; null if there is none. */
     PooledConnection takeLongestIdle() {
         return idle.pollFirst();
     }
 
-    /** The connection that has been idle longest, which stays; null if there is none. */
+    /** Returns the longest idle connection without removing it; null if there is none. */
     PooledConnection longestIdle() {
         return idle.peekFirst();
     }
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Discards the connections that have been idle since before then. */
+    /** Closes the connections that became idle before the given time. */
     void discardIdleBefore(long micros) {
         while (!idle.isEmpty() && idle.peekFirst().idleSinceMicros() < micros) {
             idle.peekFirst().discard(AttemptResult.RESET);
--- a/src/main/java/crankwick/database/HostRegistry.java
+++ b/src/main/java/crankwick/database/HostRegistry.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The hosts of a pool by endpoint id. Lives on the event loop. */
+/** The hosts of a pool by endpoint id. Confined to the event loop. */
 final class HostRegistry {
-    /** By then nothing names a removed host any more. */
+    /** How long a removed host is retained: after that, no attempt or health check refers to it. */
     private static final long REMOVED_HOST_RETENTION_MICROS = 60_000_000;
 
     private final Map<String, Host> hosts = new HashMap<>();
 
-    /** Null where nothing is known of the endpoint. */
+    /** The endpoint's host; null if there is none. */
     Host find(String endpointId) {
         return hosts.get(endpointId);
     }
@@ -27,7 +27,7 @@
         return host;
     }
 
-    /** Takes an update of the endpoint list in; a full one removes the hosts that it does not name. */
+    /** Applies an update of the endpoint list; a full update marks hosts that it does not name as removed. */
     void update(EndpointUpdateKind kind, List<EndpointAddress> entries, long nowMicros) {
         if (kind == EndpointUpdateKind.FULL) {
             for (Host host : hosts.values()) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The connection that has been idle longest, to whichever host; null if none is idle. */
+    /** The longest idle connection of all hosts; null if none is idle. */
     PooledConnection longestIdle() {
         PooledConnection longest = null;
         for (Host host : hosts.values()) {
@@ -51,12 +51,12 @@
         return longest;
     }
 
-    /** Ends connections idle for longer than that, and forgets hosts removed long ago. */
+    /** Closes connections idle for longer than {@code maxIdleMicros} and drops hosts past their retention. */
     void reap(long nowMicros, long maxIdleMicros) {
         for (Iterator<Host> all = hosts.values().iterator(); all.hasNext(); ) {
             Host host = all.next();
             host.discardIdleBefore(nowMicros - maxIdleMicros);
-            if (host.isRemovedBefore(nowMicros - REMOVED_HOST_RETENTION_MICROS)) {
+            if (host.wasRemovedBefore(nowMicros - REMOVED_HOST_RETENTION_MICROS)) {
                 host.discardIdle();
                 host.unlist();
             }
--- a/src/main/java/crankwick/database/LoadReportCodec.java
+++ b/src/main/java/crankwick/database/LoadReportCodec.java
@@ -5,18 +5,18 @@
 import crankwick.routing.api.Role;
 import java.util.regex.Pattern;
 
-/** Decodes a load report, {@code x0=1767225600.123,x1=0}, whose form is the same in every protocol. */
+/** Decodes a load report such as {@code x0=1767225600.123,x1=0}; the format is the same in every protocol. */
 public final class LoadReportCodec {
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double MICROS_PER_MILLI = 1e3;
-    /** Narrower than what Java reads: no sign, no infinity, no hexadecimal, nothing of astronomic size. */
+    /** Numbers are restricted beyond Java's syntax: no sign, infinity, hexadecimal or extremely large value. */
     private static final double MAX_NUMBER = 1e14;
 
     private static final Pattern NUMBER = Pattern.compile("\\d{1,14}(\\.\\d{1,14})?([eE]\\d{1,2})?");
 
     private LoadReportCodec() {}
 
-    /** The report; null if any part of the text is malformed. */
+    /** Parses a report; null if any part of the text is malformed. */
     public static LoadReport parse(String text) {
         long position = AbsentValue.NONE;
         Role role = Role.UNKNOWN;
@@ -41,13 +41,13 @@
         return new LoadReport(position, role, queueLength, utilization, inFlight);
     }
 
-    /** A log position in Unix milliseconds as microseconds; NONE if the text is none. */
+    /** Converts a log position from Unix milliseconds to microseconds; NONE if it is not a positive number. */
     public static long parsePosition(String millis) {
         double value = parseNumber(millis);
         return value > 0 ? (long) (value * MICROS_PER_MILLI) : AbsentValue.NONE;
     }
 
-    /** A database's role in its group, from its {@code mode}. */
+    /** Converts a database's {@code mode} to its role in its group. */
     public static Role parseRole(String mode) {
         return switch (mode) {
             case "read-write" -> Role.PRIMARY;
--- a/src/main/java/crankwick/database/PoolContext.java
+++ b/src/main/java/crankwick/database/PoolContext.java
@@ -5,5 +5,5 @@
 import crankwick.transport.CodecFilter;
 import crankwick.transport.EventLoop;
 
-/** What the parts of one pool share. */
+/** Dependencies shared by the exchanges and connections of one pool. */
 record PoolContext(BrokerEventSink broker, EventLoop loop, Clock clock, CodecFilter codec, PoolCounters counters) {}
--- a/src/main/java/crankwick/database/PoolCounters.java
+++ b/src/main/java/crankwick/database/PoolCounters.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counters of a pool's connections and of commands that it did not write; safe on any thread. */
+/** Counters of a pool's connections and of the commands that it did not write; thread-safe. */
 final class PoolCounters {
     private final AtomicLong opened = new AtomicLong();
     private final AtomicLong connectTimeouts = new AtomicLong();
     private final AtomicLong reassigned = new AtomicLong();
-    private final AtomicLong[] notSent = new AtomicLong[BeginDecision.values().length];
+    private final AtomicLong[] notSent = new AtomicLong[SendDecision.values().length];
 
     PoolCounters() {
         for (int i = 0; i < notSent.length; i++) {
@@ -19,26 +19,26 @@
         opened.incrementAndGet();
     }
 
-    /** A connection was not up, or not greeted, in time. */
+    /** A connection was not established, or not greeted, within the connect timeout. */
     void countConnectTimeout() {
         connectTimeouts.incrementAndGet();
     }
 
-    /** A command goes to another connection, as its own ended before the first byte. */
+    /** A command moved to another connection because its connection closed before the first byte was written. */
     void countReassigned() {
         reassigned.incrementAndGet();
     }
 
-    /** A command was not written. */
-    void countNotSent(BeginDecision reason) {
+    /** A command was not written, for the given reason. */
+    void countNotSent(SendDecision reason) {
         notSent[reason.ordinal()].incrementAndGet();
     }
 
-    /** For the line of counters. */
+    /** Formats the counters for the log. */
     @Override
     public String toString() {
         return "opened=" + opened + " connect_timeouts=" + connectTimeouts + " reassigned=" + reassigned
-                + " not_sent_abandoned=" + notSent[BeginDecision.ABANDONED.ordinal()]
-                + " not_sent_expired=" + notSent[BeginDecision.EXPIRED.ordinal()];
+                + " not_sent_abandoned=" + notSent[SendDecision.ABANDONED.ordinal()]
+                + " not_sent_expired=" + notSent[SendDecision.EXPIRED.ordinal()];
     }
 }
--- a/src/main/java/crankwick/database/PoolSettings.java
+++ b/src/main/java/crankwick/database/PoolSettings.java
@@ -3,8 +3,8 @@
 /**
  * Limits of a connection pool.
  *
- * @param connectTimeoutMicros how long a connection may take until the database has greeted it
- * @param serverIdleTimeoutMicros databases end connections that have been idle for so long
- * @param maxConnections connections to all databases together
+ * @param connectTimeoutMicros time limit for a new connection, up to the database's greeting
+ * @param serverIdleTimeoutMicros idle time after which a database closes a connection
+ * @param maxConnections max connections to all databases together
  */
 public record PoolSettings(long connectTimeoutMicros, long serverIdleTimeoutMicros, int maxConnections) {}
--- a/src/main/java/crankwick/database/PooledConnection.java
+++ b/src/main/java/crankwick/database/PooledConnection.java
@@ -17,28 +17,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to a database: coming up until it is greeted, then idle or with an {@link Exchange}. Lives on the
- * event loop, but for writing a command, which is done on the selector thread. It ends in {@link #discard}.
+ * One connection to a database. It is connecting until the database has greeted it, then idle or serving an
+ * {@link Exchange}; {@link #discard} closes it. Confined to the event loop, except that commands are written on the
+ * selector thread.
  */
 final class PooledConnection {
     private static final Logger LOG = LoggerFactory.getLogger(PooledConnection.class);
-    /** A response that has begun is not waited for longer than this: databases send each as a whole. */
+    /** Time limit for completing a response that has begun: databases send each response at once. */
     private static final long RESPONSE_STALL_TIMEOUT_MICROS = 250_000;
-    /** A connection that breaks so soon under a command had been ended before, unnoticed. */
+    /** A reused connection that closes this soon after a command started had already been closed by the database. */
     private static final long STALE_CONNECTION_WINDOW_MICROS = 5_000;
 
-    /** The pool, as its connections see it. */
+    /** Callbacks from a connection to its pool. */
     interface Owner {
-        /** The socket is up, not yet greeted. */
+        /** The socket is connected; the database has not greeted it yet. */
         void onConnected(Connection<SocketAddress> socket, PooledConnection connection);
 
         /** The connection has become idle. */
         void release(PooledConnection connection);
 
-        /** The connection ends; {@code socket} is null where it has not been up. */
+        /** The connection is being closed; {@code socket} is null if it was never connected. */
         void onDiscarded(PooledConnection connection, Connection<SocketAddress> socket);
 
-        /** Has an exchange of which nothing has been written carried by another connection. */
+        /** Dispatches an exchange whose command has not been sent to another connection. */
         void reassign(Exchange unsent);
     }
 
@@ -46,36 +47,39 @@
     private final Owner owner;
     private final String endpointId;
     private final EventLoop.Timer connectTimer;
-    private Future<?> connecting;
+    private Future<?> connectFuture;
     private Connection<SocketAddress> socket;
     private Exchange exchange;
+    /** Whether the database has completed the handshake. */
     private boolean greeted;
+
     private boolean discarded;
-    /** Set by whoever comes first: the thread that writes the exchange's command, or the loop that ends it. */
+    /** Set once: by the selector thread that writes the exchange's command or by the event loop that ends it. */
     private AtomicBoolean sendClaim;
-    /** The last byte of the exchange's command has been written; set by whichever thread wrote it. */
+    /** The last byte of the exchange's command has been written; set by the thread that wrote it. */
     private volatile boolean written;
 
-    /** When the connection became idle for the last time; 0 before. */
+    /** When the connection last became idle; 0 if it never has. */
     private long idleSinceMicros;
 
-    /** Whether the connection had been idle before its exchange, and when that was started. */
+    /** Whether the connection had been idle before its current exchange. */
     private boolean reused;
 
+    /** When the current exchange was started on this connection. */
     private long startedAtMicros;
 
-    /** For an exchange that starts once the database has greeted; {@link #connect} comes next. */
+    /** Creates a connection whose first exchange starts after the greeting; {@link #connect} must follow. */
     PooledConnection(PoolContext context, Owner owner, Exchange exchange, long connectTimeoutMicros) {
         this.context = context;
         this.owner = owner;
         this.exchange = exchange;
         endpointId = exchange.endpointId();
         connectTimer = context.loop().after(connectTimeoutMicros, this::onConnectTimeout);
-        exchange.carriedBy(this);
+        exchange.assignTo(this);
     }
 
     void connect(Transport transport, SocketAddress address, FilterChain chain) {
-        connecting = transport.connect(address, new ConnectHandler(this), chain);
+        connectFuture = transport.connect(address, new ConnectHandler(this), chain);
     }
 
     String endpointId() {
@@ -86,27 +90,28 @@
         return idleSinceMicros;
     }
 
-    boolean carries(Exchange candidate) {
+    boolean isAssigned(Exchange candidate) {
         return exchange == candidate;
     }
 
-    /** The connection becomes idle now. */
+    /** Records that the connection becomes idle now. */
     void markIdle() {
         idleSinceMicros = context.clock().now();
     }
 
     private void onConnectTimeout() {
         if (socket == null) {
-            endUnlessGreeted("connect timeout");
+            discardUnlessGreeted("connection not established within the connect timeout");
         } else {
-            Transport.afterReading(socket, () -> context.loop().execute(() -> endUnlessGreeted("greeting timeout")));
+            Transport.afterReading(socket, () -> context.loop()
+                    .execute(() -> discardUnlessGreeted("no greeting within the connect timeout")));
         }
     }
 
-    private void endUnlessGreeted(String reason) {
+    private void discardUnlessGreeted(String reason) {
         if (!greeted && !discarded) {
             context.counters().countConnectTimeout();
-            LOG.info("database {}: {}", endpointId, reason);
+            LOG.info("database {}: {}; closing the connection", endpointId, reason);
             discard(AttemptResult.UNREACHABLE);
         }
     }
@@ -121,30 +126,30 @@
     }
 
     /**
-     * Writes the command from the thread that reads: only there is it certain that no unsolicited bytes have come
-     * in, and that a connection which was given up before has been closed.
+     * Writes the command on the selector thread, which also reads the socket: only this thread can be sure that no
+     * unsolicited bytes have arrived and that a connection discarded earlier has been closed.
      */
     void start(Exchange next) {
-        carry(next);
+        assign(next);
         written = false;
         reused = idleSinceMicros > 0;
         startedAtMicros = context.clock().now();
         AtomicBoolean claim = new AtomicBoolean();
         sendClaim = claim;
-        var whenWritten = new CommandWrittenHandler(this, next);
+        var writtenHandler = new CommandWrittenHandler(this, next);
         Transport.onSelectorThread(socket, () -> {
             if (next.requiresClientRecheck()) {
-                // From a task on this thread, so behind what has arrived: see Transport.afterReading.
-                Transport.onSelectorThread(socket, () -> sendUnlessCancelled(next, claim, whenWritten));
+                // A task submitted by a task runs after pending reads: see Transport.afterReading.
+                Transport.onSelectorThread(socket, () -> sendUnlessCancelled(next, claim, writtenHandler));
             } else {
-                sendUnlessCancelled(next, claim, whenWritten);
+                sendUnlessCancelled(next, claim, writtenHandler);
             }
         });
     }
 
-    /** Keeps the connection for the exchange until its quarantine ends: that is sooner than another comes up. */
+    /** Reserves the connection for the exchange until its quarantine ends: sooner than a new one could connect. */
     void startAt(long micros, Exchange next) {
-        carry(next);
+        assign(next);
         sendClaim = new AtomicBoolean();
         context.loop().after(micros - context.clock().now(), () -> {
             if (!discarded && exchange == next) {
@@ -153,18 +158,18 @@
         });
     }
 
-    private void carry(Exchange next) {
+    private void assign(Exchange next) {
         exchange = next;
-        next.carriedBy(this);
+        next.assignTo(this);
     }
 
-    /** The one place where it is decided whether a command's first byte is written; on the selector thread. */
+    /** The only place that decides whether a command's first byte is written; runs on the selector thread. */
     private void sendUnlessCancelled(
             Exchange next,
             AtomicBoolean claim,
-            CompletionHandler<WriteResult<DatabaseCommand, SocketAddress>> whenWritten) {
+            CompletionHandler<WriteResult<DatabaseCommand, SocketAddress>> writtenHandler) {
         if (claim.get()) {
-            // Ended meanwhile: the connection may carry another exchange by now, and read that one's response.
+            // The exchange has ended: the connection may already serve another exchange and read its response.
             return;
         }
         if (!Transport.isQuiet(socket)) {
@@ -172,13 +177,13 @@
             return;
         }
         DatabaseCommand command = next.command();
-        BeginDecision decision = next.mayBegin();
-        if (decision != BeginDecision.BEGIN) {
+        SendDecision decision = next.sendDecision();
+        if (decision != SendDecision.SEND) {
             context.counters().countNotSent(decision);
-            context.loop().execute(() -> cancelQueuedIfCarried(next));
+            context.loop().execute(() -> cancelQueuedIfAssigned(next));
         } else if (claim.compareAndSet(false, true)) {
             context.codec().expect(socket, command);
-            socket.write(command, whenWritten);
+            socket.write(command, writtenHandler);
         }
     }
 
@@ -201,8 +206,8 @@
             onGreeted();
         } else if (message instanceof DatabaseMessage.Response response) {
             onResponse(response);
-        } else if (message instanceof DatabaseMessage.ProtocolError broken) {
-            onProtocolError(broken.fault());
+        } else if (message instanceof DatabaseMessage.ProtocolError error) {
+            onProtocolError(error.fault());
         }
     }
 
@@ -218,32 +223,32 @@
 
     private void onResponse(DatabaseMessage.Response response) {
         if (!greeted) {
-            // Rejected before the greeting: the exchange's command has not been written.
+            // Rejected during the handshake: the exchange's command has not been written.
             boolean overloaded = response.result() == AttemptResult.REJECTED_OVERLOADED;
             discard(overloaded ? AttemptResult.REJECTED_OVERLOADED : AttemptResult.UNREACHABLE);
         } else if (exchange == null) {
             discard(AttemptResult.RESET);
         } else {
-            Exchange done = exchange;
+            Exchange completed = exchange;
             exchange = null;
             if (response.closesConnection()) {
                 discard(AttemptResult.RESET);
             } else {
                 owner.release(this);
             }
-            done.end(response.result(), response);
+            completed.end(response.result(), response);
         }
     }
 
-    /** An invalid response is a failed attempt that may have run; an unsent exchange moves to another connection. */
+    /** Fails a sent attempt, whose statement may have run; an unsent exchange moves to another connection. */
     private void onProtocolError(String fault) {
-        LOG.warn("database {}: {}", endpointId, fault);
+        LOG.warn("database {}: invalid response: {}; closing the connection", endpointId, fault);
         if (!reassignUnsent()) {
             discard(greeted ? AttemptResult.RESET : AttemptResult.CONNECTION_LOST_BEFORE_SEND);
         }
     }
 
-    /** Ends the connection if a response that has begun does not end. */
+    /** Closes the connection if a response that has begun is not completed in time. */
     void checkStalledResponse() {
         if (!discarded && context.codec().isStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS)) {
             context.codec().ifStillStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS, () -> context.loop()
@@ -253,17 +258,17 @@
 
     private void onResponseStalled() {
         if (!discarded) {
-            onProtocolError("incomplete response");
+            onProtocolError("not completed within the stall timeout");
         }
     }
 
     void onClosed() {
         if (!reassignUnsent()) {
-            discard(resultOfClose());
+            discard(closeResult());
         }
     }
 
-    private AttemptResult resultOfClose() {
+    private AttemptResult closeResult() {
         boolean stale = reused && context.clock().now() - startedAtMicros < STALE_CONNECTION_WINDOW_MICROS;
         if (!written) {
             return AttemptResult.CONNECTION_LOST_BEFORE_SEND;
@@ -271,29 +276,29 @@
         return stale ? AttemptResult.STALE_CONNECTION : AttemptResult.RESET;
     }
 
-    /** Ends the connection; an exchange of which nothing has been written goes on over another: true. */
+    /** If the exchange is unsent, closes the connection, moves the exchange to another one and returns true. */
     private boolean reassignUnsent() {
         Exchange unsent = exchange;
         if (discarded || unsent == null || !greeted || !sendClaim.compareAndSet(false, true)) {
             return false;
         }
         exchange = null;
-        unsent.carriedBy(null);
+        unsent.assignTo(null);
         context.counters().countReassigned();
         discard(AttemptResult.RESET);
         owner.reassign(unsent);
         return true;
     }
 
-    private void cancelQueuedIfCarried(Exchange unwanted) {
-        if (!discarded && exchange == unwanted) {
+    private void cancelQueuedIfAssigned(Exchange rejected) {
+        if (!discarded && exchange == rejected) {
             cancelQueued(AttemptResult.NOT_SENT);
         }
     }
 
     /**
-     * Ends the exchange if not a byte of its command has been written, and keeps the connection, which may
-     * still be coming up; false if it has begun.
+     * Ends the exchange and keeps the connection, which may still be connecting; returns false if writing the
+     * command has begun.
      */
     boolean cancelQueued(AttemptResult result) {
         if (greeted && !sendClaim.compareAndSet(false, true)) {
@@ -301,7 +306,7 @@
         }
         Exchange unsent = exchange;
         exchange = null;
-        unsent.carriedBy(null);
+        unsent.assignTo(null);
         if (greeted) {
             owner.release(this);
         }
@@ -309,7 +314,7 @@
         return true;
     }
 
-    /** Ends the connection, and with {@code result} the exchange that it still carries. */
+    /** Closes the connection and ends its exchange, if any, with {@code result}. */
     void discard(AttemptResult result) {
         if (discarded) {
             return;
@@ -323,14 +328,14 @@
         if (socket != null) {
             socket.terminateSilently();
         } else {
-            connecting.cancel(true);
+            connectFuture.cancel(true);
         }
         if (exchange != null) {
             exchange.end(result, null);
         }
     }
 
-    /** Greets the database as soon as the socket is up. */
+    /** Starts the handshake as soon as the socket is connected. */
     private static final class ConnectHandler extends EmptyCompletionHandler<Connection<SocketAddress>> {
         private final PooledConnection connection;
 
@@ -341,7 +346,8 @@
         @Override
         public void completed(Connection<SocketAddress> connected) {
             connection.context.loop().execute(() -> connection.onConnected(connected));
-            // A late loop must not pass for a database that is slow to greet; the loop knows the socket by then.
+            // Not on the event loop: its delay must not look like a slow greeting. It runs onConnected before any
+            // reply.
             connected.write(new DatabaseCommand.Handshake());
         }
 
@@ -353,7 +359,7 @@
         }
     }
 
-    /** Notes when a command has been written. */
+    /** Records that a command has been written. */
     private static final class CommandWrittenHandler
             extends EmptyCompletionHandler<WriteResult<DatabaseCommand, SocketAddress>> {
         private final PooledConnection connection;
--- a/src/main/java/crankwick/database/BeginDecision.java
+++ b/src/main/java/crankwick/database/SendDecision.java
@@ -1,10 +1,10 @@
 package crankwick.database;
 
-/** Whether the first byte of a command may be written to a database, and why not. */
-enum BeginDecision {
-    BEGIN,
+/** Whether the first byte of a command may be written to a database and, if not, the reason. */
+enum SendDecision {
+    SEND,
     /** The client has closed its connection or cancelled the command. */
     ABANDONED,
-    /** The deadline, or the window in which databases discard duplicates, is over. */
+    /** The request's deadline or the databases' deduplication window has passed. */
     EXPIRED
 }
--- a/src/main/java/crankwick/database/package-info.java
+++ b/src/main/java/crankwick/database/package-info.java
@@ -1,2 +1,2 @@
-/** The database side: the connection pool, its commands and replies, and the load report that all protocols share. */
+/** The database side: the connection pool, its commands and responses, and the load report shared by all protocols. */
 package crankwick.database;
--- a/src/main/java/crankwick/discovery/ConfigurationSource.java
+++ b/src/main/java/crankwick/discovery/ConfigurationSource.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Reads a part of the configuration again. */
+/** Reads one part of the current configuration. */
 @FunctionalInterface
 public interface ConfigurationSource<T> {
-    /** The part as it is now; throws IllegalArgumentException with the key at fault. */
+    /** Returns the current value; throws IllegalArgumentException naming the invalid key. */
     T read() throws IOException;
 }
--- a/src/main/java/crankwick/discovery/Discovery.java
+++ b/src/main/java/crankwick/discovery/Discovery.java
@@ -5,12 +5,12 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Where the list of databases comes from: {@link ListUpdate} on the loop, from the start to the end. */
+/** A source of the endpoint list: delivers each {@link ListUpdate} on the event loop between start and close. */
 public interface Discovery {
-    /** Begins to watch; failures are retried without end. */
+    /** Starts watching; failures are retried indefinitely. */
     void start();
 
-    /** Reads its configuration again and continues as that says; an unreadable one changes nothing. */
+    /** Reads its configuration again and applies it; an unreadable configuration changes nothing. */
     void reload();
 
     /** Stops watching. */
@@ -19,7 +19,7 @@
     /** An entry of the list, with the address at which this proxy reaches the database. */
     record DiscoveredEndpoint(Endpoint endpoint, InetSocketAddress address) {}
 
-    /** Changes of the list, or a complete list. */
+    /** Changes to the list or a complete list, depending on {@code kind}. */
     record ListUpdate(EndpointUpdateKind kind, List<DiscoveredEndpoint> discoveredEndpoints) {
         /** The list without the addresses. */
         public List<Endpoint> endpoints() {
--- a/src/main/java/crankwick/discovery/DiscoveryCall.java
+++ b/src/main/java/crankwick/discovery/DiscoveryCall.java
@@ -12,11 +12,11 @@
 import org.glassfish.grizzly.http.HttpRequestPacket;
 import org.glassfish.grizzly.http.Protocol;
 
-/** One HTTP call to discovery on a connection of its own, which {@link #end} closes; it lives on the event loop. */
+/** One HTTP call to discovery on a dedicated connection, closed by {@link #end}. Confined to the event loop. */
 final class DiscoveryCall extends EmptyCompletionHandler<Connection<SocketAddress>> {
     private static final String PATH = "/discovery/hosts";
 
-    /** Is notified on the event loop; a call that has ended may still fail. */
+    /** Receives events on the event loop; a call that has ended may still report a failure. */
     interface Listener {
         /** The connection is established. */
         void onConnected(DiscoveryCall call);
@@ -24,7 +24,7 @@
         /** The response is complete; the call has ended. */
         void onResponse(DiscoveryCall call, String body);
 
-        /** There is no response, for the stated reason. */
+        /** The call failed without a response. */
         void onFailure(DiscoveryCall call, String reason);
     }
 
@@ -37,7 +37,7 @@
     private Connection<SocketAddress> connection;
     private boolean ended;
 
-    /** Opens the call; {@code query} is null for none. */
+    /** Starts connecting; {@code query} is null for a request without a query string. */
     DiscoveryCall(
             long number,
             InetSocketAddress address,
@@ -73,7 +73,7 @@
 
     @Override
     public void failed(Throwable cause) {
-        fail("no connection");
+        fail("connection failed");
     }
 
     private void onConnected(Connection<SocketAddress> established) {
@@ -94,12 +94,12 @@
         established.write(request.build(), new RequestWritten());
     }
 
-    /** Reports a failure; on any thread. */
+    /** Reports a failure; may be called from any thread. */
     void fail(String reason) {
         loop.execute(() -> listener.onFailure(this, reason));
     }
 
-    /** Reports the response; on any thread. */
+    /** Reports the response; may be called from any thread. */
     void respond(String body) {
         loop.execute(() -> {
             if (!ended) {
@@ -109,7 +109,7 @@
         });
     }
 
-    /** Closes the connection, which may still be coming up; a response that still comes does not count. */
+    /** Closes the connection or cancels connecting; a later response is ignored. */
     void end() {
         ended = true;
         if (connection != null) {
@@ -122,7 +122,7 @@
     private final class RequestWritten extends EmptyCompletionHandler<WriteResult<Object, SocketAddress>> {
         @Override
         public void failed(Throwable cause) {
-            fail("the request can't be written");
+            fail("request could not be written");
         }
     }
 }
--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -25,15 +25,15 @@
 import org.xbill.DNS.TXTRecord;
 
 /**
- * The list of databases as DNS-SD records in a zone's master file, read again when it changes. Under the
- * service's name, PTR names the instances; each has an SRV (port, target), a TXT and its target an A.
- * The TXT's keys are those of the platform's list: zone, cell, state, mode, started_ms.
+ * Reads the endpoint list from DNS-SD records in a zone's master file and applies the file's changes. PTR records
+ * under the service's name list the instances; each instance has an SRV record (port, target) and a TXT record, and the
+ * SRV target has an A record. The TXT keys are those of the platform's list: zone, cell, state, mode, started_ms.
  */
 public final class DnsSdZoneFile implements Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(DnsSdZoneFile.class);
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** The records' file, and the service's name in it. */
+    /** The master file and the name of the service in it. */
     public record DnsZone(Path file, Name service) {}
 
     private final ConfigurationSource<DnsZone> configured;
@@ -44,27 +44,27 @@
     private final EndpointList endpointList;
     private DnsZone zone;
     private String lastText = "";
-    /** The last fault, so that each is logged once. */
+    /** The last read failure; a repeated failure is not logged again. */
     private String lastFault = "";
 
     private boolean watching;
 
     /**
-     * Continues from {@code known}; {@code zones} names them in the settings' order. The file is read again every
-     * {@code rereadInterval} microseconds.
+     * Starts from the list {@code known}; {@code zones} has the zone names in the order of the settings. The file is
+     * read again every {@code rereadInterval} microseconds.
      */
     public DnsSdZoneFile(
             DnsZone zone,
             ConfigurationSource<DnsZone> configured,
             List<String> zones,
             ListUpdate known,
-            long rereadEvery,
+            long rereadInterval,
             EventLoop loop,
             Consumer<ListUpdate> listener) {
         this.zone = zone;
         this.configured = configured;
         this.zones = zones;
-        this.rereadInterval = rereadEvery;
+        this.rereadInterval = rereadInterval;
         this.loop = loop;
         this.listener = listener;
         endpointList = new EndpointList(known.discoveredEndpoints());
@@ -73,7 +73,7 @@
     @Override
     public void start() {
         watching = true;
-        reread();
+        pollFile();
     }
 
     @Override
@@ -81,7 +81,10 @@
         try {
             zone = configured.read();
         } catch (IOException | IllegalArgumentException e) {
-            LOG.warn("configuration unreadable, keeping {}: {}", zone.file().getFileName(), e.getMessage());
+            LOG.warn(
+                    "cannot reload the configuration; keeping zone file {}: {}",
+                    zone.file().getFileName(),
+                    e.getMessage());
             return;
         }
         read();
@@ -92,37 +95,43 @@
         watching = false;
     }
 
-    private void reread() {
+    private void pollFile() {
         if (watching) {
             read();
-            loop.after(rereadInterval, this::reread);
+            loop.after(rereadInterval, this::pollFile);
         }
     }
 
-    /** A file that is half written or malformed leaves the list as it is. */
+    /** Applies the file if it changed; a partially written or malformed file leaves the list unchanged. */
     private void read() {
         try {
             String text = Files.readString(zone.file());
             if (!text.equals(lastText)) {
                 List<EndpointList.Entry> entries = parse(zone, zones);
-                String unread = EndpointList.firstFault(entries);
-                if (unread != null) {
-                    LOG.warn("{} unreadable in part: {}", zone.file().getFileName(), unread);
+                String fault = EndpointList.firstFault(entries);
+                if (fault != null) {
+                    LOG.warn(
+                            "zone file {} has unreadable entries; using their last known state: {}",
+                            zone.file().getFileName(),
+                            fault);
                 }
                 listener.accept(endpointList.merge(true, entries));
                 lastText = text;
                 lastFault = "";
             }
         } catch (IOException | RuntimeException e) {
-            // The DNS library has no one exception for malformed records.
+            // The DNS library throws various unchecked exceptions for malformed records.
             if (!lastFault.equals(e.toString())) {
-                LOG.warn("{} unreadable, keeping the list: {}", zone.file().getFileName(), e.getMessage());
+                LOG.warn(
+                        "cannot read zone file {}; keeping the current endpoint list: {}",
+                        zone.file().getFileName(),
+                        e.getMessage());
             }
             lastFault = e.toString();
         }
     }
 
-    /** The databases that a zone's file names, as far as their records are readable. */
+    /** Reads the entries of a zone file; an entry with missing or invalid records is marked as unreadable. */
     public static List<EndpointList.Entry> parse(DnsZone zone, List<String> zones) throws IOException {
         List<Name> instances = new ArrayList<>();
         Map<Name, SRVRecord> services = new HashMap<>();
@@ -163,7 +172,7 @@
             status = EndpointListCodec.parseStatus(attributes.getOrDefault("state", "up"));
             Role role = "read-write".equals(attributes.get("mode")) ? Role.PRIMARY : Role.UNKNOWN;
             if (address == null) {
-                throw new EndpointListFormatException("lacks its SRV or A");
+                throw new EndpointListFormatException("no SRV record, or no A record for its target");
             }
             Endpoint endpoint = new Endpoint(
                     endpointId,
@@ -181,7 +190,7 @@
 
     private static Map<String, String> attributes(TXTRecord txt) {
         if (txt == null) {
-            throw new EndpointListFormatException("lacks its TXT");
+            throw new EndpointListFormatException("no TXT record");
         }
         Map<String, String> attributes = new HashMap<>();
         for (String text : txt.getStrings()) {
--- a/src/main/java/crankwick/discovery/EndpointList.java
+++ b/src/main/java/crankwick/discovery/EndpointList.java
@@ -12,21 +12,21 @@
 import java.util.Map;
 
 /**
- * Turns the entries of a list, of which some may be unreadable, into updates. It remembers the last readable
- * state of each endpoint: an unreadable entry stands for that state, and can only make it more cautious. It is
- * bounded by the size of the list and not thread-safe.
+ * Converts the entries of a list, some of which may be unreadable, into updates. Remembers the last readable state of
+ * each endpoint, which replaces an unreadable entry; the entry can only change its status to draining or removed.
+ * Memory is bounded by the size of the list. Not thread-safe.
  */
 public final class EndpointList {
     /**
-     * One entry, as far as it could be decoded.
+     * One entry with the parts that could be decoded.
      *
-     * @param endpointId the endpoint's name; null if that is unreadable
-     * @param status null if that is unreadable
-     * @param discovered the complete entry; null unless all of it is readable
-     * @param fault what is unreadable; null if nothing is
+     * @param endpointId the endpoint's id; null if it is unreadable
+     * @param status the endpoint's status; null if it is unreadable
+     * @param discovered the complete entry; null if any part is unreadable
+     * @param fault why the entry is unreadable; null if it is readable
      */
     public record Entry(String endpointId, EndpointStatus status, DiscoveredEndpoint discovered, String fault) {
-        /** A readable entry. */
+        /** Creates a readable entry. */
         static Entry of(DiscoveredEndpoint discovered) {
             return new Entry(discovered.endpoint().id(), discovered.endpoint().status(), discovered, null);
         }
@@ -34,12 +34,12 @@
 
     private final Map<String, DiscoveredEndpoint> lastKnown = new HashMap<>();
 
-    /** Continues from a known list. */
+    /** Starts from the given list. */
     public EndpointList(List<DiscoveredEndpoint> known) {
         known.forEach(discovered -> lastKnown.put(discovered.endpoint().id(), discovered));
     }
 
-    /** What is wrong with the first unreadable entry; null if all are readable. */
+    /** The fault of the first unreadable entry; null if all are readable. */
     public static String firstFault(List<Entry> entries) {
         for (Entry entry : entries) {
             if (entry.fault() != null) {
@@ -49,7 +49,7 @@
         return null;
     }
 
-    /** The list of a configuration, of which every entry has to be readable. */
+    /** Converts the list of a configuration, in which every entry must be readable. */
     public static ListUpdate requireComplete(List<Entry> entries) {
         String fault = firstFault(entries);
         if (fault != null) {
@@ -63,9 +63,9 @@
     }
 
     /**
-     * The update that a list brings; {@code full} if it claims to be complete. It counts as complete only where
-     * the name of each entry is readable, since any endpoint might be the one without. If an endpoint is named
-     * twice, a draining entry wins.
+     * Merges a received list and returns the resulting update; {@code full} if the list claims to be complete. The
+     * update is full only if the id of every entry is readable too, since an entry without an id may be any endpoint.
+     * If a list has two entries for an endpoint, a draining entry takes precedence.
      */
     public ListUpdate merge(boolean full, List<Entry> entries) {
         Map<String, DiscoveredEndpoint> named = new LinkedHashMap<>();
@@ -94,20 +94,20 @@
                 complete ? EndpointUpdateKind.FULL : EndpointUpdateKind.INCREMENTAL, new ArrayList<>(named.values()));
     }
 
-    /** The last known state for an unreadable entry; draining or removed if that much is readable. */
+    /** The last known state for an unreadable entry, with its status if that reads as draining or removed. */
     private DiscoveredEndpoint lastKnownOf(Entry entry) {
         DiscoveredEndpoint discovered = lastKnown.get(entry.endpointId());
         if (discovered == null || entry.status() == null || entry.status() == EndpointStatus.LIVE) {
             return discovered;
         }
         Endpoint endpoint = discovered.endpoint();
-        Endpoint leaving = new Endpoint(
+        Endpoint updated = new Endpoint(
                 endpoint.id(),
                 endpoint.zone(),
                 endpoint.groupId(),
                 endpoint.role(),
                 entry.status(),
                 endpoint.startedAt());
-        return new DiscoveredEndpoint(leaving, discovered.address());
+        return new DiscoveredEndpoint(updated, discovered.address());
     }
 }
--- a/src/main/java/crankwick/discovery/EndpointListCodec.java
+++ b/src/main/java/crankwick/discovery/EndpointListCodec.java
@@ -12,21 +12,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decodes discovery's lists of databases; the names of their fields are mapped to standard terms here. */
+/** Decodes discovery's JSON lists of databases and maps their field names to the terms used in this code. */
 public final class EndpointListCodec {
     private static final double MICROS_PER_MILLI = 1_000;
 
     private final List<String> zones;
 
-    /** {@code zones} names them in the settings' order. */
+    /** {@code zones} has the zone names in the order of the settings. */
     public EndpointListCodec(List<String> zones) {
         this.zones = zones;
     }
 
-    /** A list's version, whether it claims to be complete, and its entries as far as they can be decoded. */
+    /** A list's version, whether it claims to be complete, and its entries, some possibly unreadable. */
     public record VersionedList(long version, boolean full, List<EndpointList.Entry> entries) {}
 
-    /** Decodes a list; an entry that can't be decoded is marked as such. */
+    /** Decodes a list; an entry that cannot be decoded carries the fault. */
     public VersionedList parse(String json) {
         try {
             return parse(JsonParser.parseString(json).getAsJsonObject());
@@ -85,7 +85,7 @@
         return value;
     }
 
-    /** A database's status by its name in the list. */
+    /** Converts an entry's {@code state} to a status. */
     static EndpointStatus parseStatus(String state) {
         return switch (state) {
             case "up" -> EndpointStatus.LIVE;
@@ -95,11 +95,11 @@
         };
     }
 
-    /** An address of the form host:port. */
+    /** Parses an address of the form host:port. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
-            throw new EndpointListFormatException("not an address: " + text);
+            throw new EndpointListFormatException("invalid address, expected host:port: " + text);
         }
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
--- a/src/main/java/crankwick/discovery/EndpointListFormatException.java
+++ b/src/main/java/crankwick/discovery/EndpointListFormatException.java
@@ -1,6 +1,6 @@
 package crankwick.discovery;
 
-/** A text that should be a list of endpoints is none; the message says why. */
+/** Thrown for an invalid endpoint list or entry; the message states the reason. */
 public final class EndpointListFormatException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/crankwick/discovery/EndpointWatch.java
+++ b/src/main/java/crankwick/discovery/EndpointWatch.java
@@ -3,33 +3,33 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps an endpoint list current by long polling: when discovery is called, how long a call may take, which
- * response is accepted. It alone decides what discovery's silence means (docs/discovery.md has the budget).
- * Times are microseconds; events and a time in, {@link Calls} out; it has no clock and no sockets.
+ * Keeps an endpoint list current by long polling: decides when discovery is called, how long a call may take and which
+ * response is accepted. Only this class interprets missing responses (docs/discovery.md has the time budget). It takes
+ * events with the current time in microseconds and calls {@link Calls}; it has no clock and no sockets.
  *
- * <p>A watch resumes call by call, each with a random long-poll timeout. A call that is not answered soon after
- * its timeout has fallen silent, and a new one is opened at once. Changes that it missed bind this proxy 6 s
- * after it fell silent, or 2 s after its timeout where that is later, and must be honoured within the settings'
- * drain grace from then on.
+ * <p>A watch is a sequence of calls, each with a random long-poll timeout. If a response does not arrive soon after
+ * that timeout, the call is silent, and a new call is opened at once. The proxy is deemed to know the changes that it
+ * missed 6 s after the silence began, or 2 s after the call's long-poll timeout if that is later; from then on it must
+ * apply them within the drain grace of the settings.
  */
 public final class EndpointWatch {
-    /** The version to ask from for the complete list. */
+    /** The version that requests the complete list instead of changes. */
     public static final long FULL_LIST = -1;
 
     private static final long MICROS_PER_MILLI = 1_000;
-    /** Long-poll timeouts are random, so that watches that fall silent together are not reopened together. */
+    /** Long-poll timeouts are random so that calls that become silent together are not reopened together. */
     static final long MIN_LONG_POLL_TIMEOUT_MICROS = 2_000 * MICROS_PER_MILLI;
 
     static final long MAX_LONG_POLL_TIMEOUT_MICROS = 4_000 * MICROS_PER_MILLI;
-    /** Of a reopened watch: its response says that the list is current again. */
+    /** For a reopened watch; short, because its response confirms that the list is current again. */
     static final long REOPEN_LONG_POLL_TIMEOUT_MICROS = 250 * MICROS_PER_MILLI;
-    /** Of the first call, up to twice as long: a start has no time to read lists. */
+    /** For the first call, which may use up to twice as long: a starting proxy has no time to read lists. */
     static final long INITIAL_LONG_POLL_TIMEOUT_MICROS = 1_000 * MICROS_PER_MILLI;
 
     static final long CONNECT_TIMEOUT_MICROS = 750 * MICROS_PER_MILLI;
-    /** For the round trip and a late event loop, after the long-poll timeout. */
+    /** Added to the long-poll timeout for the round trip and event loop delays. */
     static final long RESPONSE_TIMEOUT_MICROS = 500 * MICROS_PER_MILLI;
-    /** How long the first call of a watch may wait in discovery's queue; doubled after each silent call. */
+    /** Max time in discovery's queue for the first call of a watch; doubled after each silent call. */
     static final long INITIAL_QUEUE_TIMEOUT_MICROS = 2_000 * MICROS_PER_MILLI;
 
     static final long MAX_QUEUE_TIMEOUT_MICROS = 8_000 * MICROS_PER_MILLI;
@@ -37,63 +37,64 @@
     static final long INITIAL_BACKOFF_MICROS = 150 * MICROS_PER_MILLI;
 
     static final long MAX_BACKOFF_MICROS = 600 * MICROS_PER_MILLI;
-    /** A fleet that asked again without end for an entry that stays unreadable would fill discovery's queue. */
+    /** Limits retries for an entry that stays unreadable: a fleet's unlimited retries would fill discovery's queue. */
     static final int MAX_PARTIAL_RESPONSES = 4;
-    /** All proxies may start at once. */
+    /** Spreads the first calls of proxies that start at the same time. */
     static final long START_JITTER_MICROS = 100 * MICROS_PER_MILLI;
 
     private static final int MAX_DOUBLINGS = 2;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** What a watch decides; the caller carries it out at once. */
+    /** Actions of a watch; the implementation performs each one immediately. */
     public interface Calls {
         /** Opens a call for changes since a version, or for the {@link #FULL_LIST}. */
         void open(long call, long fromVersion, long longPollTimeout);
 
-        /** Ends a call; a response that still comes does not count. */
+        /** Ends a call; a later response is ignored. */
         void end(long call);
 
-        /** Leaves a call open at the previous server: its response counts until the next one comes. */
+        /** Leaves a call open at the previous server; its response is accepted until the new server responds. */
         void detach(long call);
     }
 
     private final SplittableRandom random;
     private final Calls calls;
     private long version;
-    private boolean fullListWanted;
-    /** A response was older than the list; another such means that the numbering has begun anew. */
+    private boolean fullListRequired;
+    /** The last response was rejected as older than the list; a second one means that version numbering restarted. */
     private boolean olderVersionRejected;
-    /** The version of the last response with unreadable entries, and how many in a row there were. */
+    /** The version of the last response. */
     private long partialResponseVersion = FULL_LIST;
 
+    /** The number of consecutive responses with unreadable entries at that version. */
     private int partialResponses;
-    /** The number of the open call, from 1; 0 for none. */
+    /** The number of the open call, starting at 1; 0 if none is open. */
     private long openCall;
 
     private long callsOpened;
     private long longPollTimeout;
     private long pollStartedAt;
-    /** Whether the open call continues the one before, so that it takes no turn in discovery's queue. */
-    private boolean resumes;
+    /** Whether the open call continues an answered call and so does not wait in discovery's queue. */
+    private boolean resumesWatch;
 
     private long nextTimerAt = NEVER;
     private int failures;
     private int silentCalls;
     private long failingSince = NEVER;
 
-    /** Continues from a list of the given version. */
+    /** Starts from a list of the given version. */
     public EndpointWatch(long version, long seed, Calls calls) {
         this.version = version;
         this.calls = calls;
         random = new SplittableRandom(seed);
     }
 
-    /** Begins to watch. */
+    /** Schedules the first call. */
     public void start(long now) {
         nextTimerAt = now + random.nextLong(START_JITTER_MICROS);
     }
 
-    /** When {@link #onTimer} is to be called next, after any event; the far future for never. */
+    /** When to call {@link #onTimer} next; read after every event; {@code Long.MAX_VALUE} for never. */
     public long nextTimerAt() {
         return nextTimerAt;
     }
@@ -103,20 +104,20 @@
         return version;
     }
 
-    /** Since when discovery has been failing; the far future while it is not. */
+    /** When discovery started failing; {@code Long.MAX_VALUE} while it is not failing. */
     public long failingSince() {
         return failingSince;
     }
 
-    /** A backoff is over, or a call has timed out. */
+    /** A backoff has ended or a call has timed out. */
     public void onTimer(long now) {
         if (now < nextTimerAt) {
             return;
         }
         if (openCall != 0) {
             failingSince = Math.min(failingSince, now);
-            silentCalls += resumes ? 0 : 1;
-            resumes = false;
+            silentCalls += resumesWatch ? 0 : 1;
+            resumesWatch = false;
             calls.end(openCall);
         }
         openNextCall(now);
@@ -125,7 +126,7 @@
     /** A call's connection is established. */
     public void onConnected(long call, long now) {
         if (call == openCall) {
-            long queueTimeout = resumes
+            long queueTimeout = resumesWatch
                     ? 0
                     : Math.min(
                             MAX_QUEUE_TIMEOUT_MICROS,
@@ -136,10 +137,11 @@
     }
 
     /**
-     * A call was answered by a list that can be parsed; {@code complete} if all its entries can. Returns true if
-     * the list is to be accepted: it is not older than the current one, or the numbering has begun anew. An
-     * incomplete list is asked for again after a backoff, up to {@link #MAX_PARTIAL_RESPONSES} times. A response
-     * without changes that came long before the timeout is not followed by the next call at once.
+     * A call returned a list that can be parsed; {@code complete} if all its entries are readable. Returns true if the
+     * caller must accept the list: it is not older than the current one, or version numbering has restarted. An
+     * incomplete list is requested again after a backoff, until {@link #MAX_PARTIAL_RESPONSES} consecutive responses
+     * of one version were incomplete. If a response without changes arrives well before the long-poll timeout, the next
+     * call is delayed.
      */
     public boolean onResponse(long call, long responseVersion, boolean complete, long now) {
         if (call != openCall) {
@@ -152,7 +154,7 @@
         partialResponses = complete ? 0 : partialResponseVersion == responseVersion ? partialResponses + 1 : 1;
         partialResponseVersion = responseVersion;
         boolean retry = !accepted || !complete && partialResponses < MAX_PARTIAL_RESPONSES;
-        fullListWanted = olderVersionRejected || fullListWanted && retry;
+        fullListRequired = olderVersionRejected || fullListRequired && retry;
         if (retry) {
             backOff(now);
             return accepted;
@@ -162,7 +164,7 @@
         failures = 0;
         silentCalls = 0;
         failingSince = NEVER;
-        resumes = true;
+        resumesWatch = true;
         if (idle) {
             nextTimerAt = now + INITIAL_BACKOFF_MICROS / 2;
         } else {
@@ -171,7 +173,7 @@
         return true;
     }
 
-    /** A call failed: refused, reset, rejected, or answered by what can't be parsed. */
+    /** A call failed: it was refused, reset or rejected, or its response cannot be parsed. */
     public void onFailure(long call, long now) {
         if (call == openCall) {
             openCall = 0;
@@ -180,21 +182,21 @@
     }
 
     /**
-     * Discovery has another address from now on, and is asked there for the complete list at once. The call at
-     * the previous address is detached: what it has written by now still counts.
+     * Discovery has moved to another address, where the complete list is requested at once. The open call to the
+     * previous address is detached: a response that it has already sent is still accepted.
      */
     public void onServerChanged(long now) {
         if (openCall != 0) {
             calls.detach(openCall);
         }
-        fullListWanted = true;
+        fullListRequired = true;
         failures = 0;
         silentCalls = 0;
-        resumes = false;
+        resumesWatch = false;
         openNextCall(now);
     }
 
-    /** Ends the open call, and opens no more. */
+    /** Ends the open call and opens no further calls. */
     public void close() {
         if (openCall != 0) {
             calls.end(openCall);
@@ -205,20 +207,20 @@
 
     private void openNextCall(long now) {
         openCall = ++callsOpened;
-        longPollTimeout = resumes
+        longPollTimeout = resumesWatch
                 ? MIN_LONG_POLL_TIMEOUT_MICROS
                         + random.nextLong(MAX_LONG_POLL_TIMEOUT_MICROS - MIN_LONG_POLL_TIMEOUT_MICROS)
-                : fullListWanted || failingSince < NEVER
+                : fullListRequired || failingSince < NEVER
                         ? REOPEN_LONG_POLL_TIMEOUT_MICROS
                         : INITIAL_LONG_POLL_TIMEOUT_MICROS + random.nextLong(INITIAL_LONG_POLL_TIMEOUT_MICROS);
         pollStartedAt = now;
         nextTimerAt = now + CONNECT_TIMEOUT_MICROS;
-        calls.open(openCall, fullListWanted ? FULL_LIST : version, longPollTimeout);
+        calls.open(openCall, fullListRequired ? FULL_LIST : version, longPollTimeout);
     }
 
     private void backOff(long now) {
         failingSince = Math.min(failingSince, now);
-        resumes = false;
+        resumesWatch = false;
         long backoff = Math.min(MAX_BACKOFF_MICROS, INITIAL_BACKOFF_MICROS << Math.min(failures++, MAX_DOUBLINGS));
         nextTimerAt = now + backoff / 2 + random.nextLong(backoff / 2);
     }
--- a/src/main/java/crankwick/discovery/HttpEndpointWatch.java
+++ b/src/main/java/crankwick/discovery/HttpEndpointWatch.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's endpoint list over HTTP: carries out the calls that an {@link EndpointWatch} decides on. */
+/** Watches the platform's endpoint list over HTTP: makes the calls that an {@link EndpointWatch} decides on. */
 public final class HttpEndpointWatch implements Discovery, EndpointWatch.Calls, DiscoveryCall.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(HttpEndpointWatch.class);
     private static final long MICROS_PER_MILLI = 1_000;
@@ -24,7 +24,7 @@
     private final EndpointWatch watch;
     private InetSocketAddress address;
     private DiscoveryCall currentCall;
-    /** The call that was open at the previous address, until the new one answers; or null. */
+    /** The call still open at the previous address, until the new address responds; or null. */
     private DiscoveryCall detachedCall;
 
     private EventLoop.Timer timer;
@@ -33,13 +33,13 @@
     private String failureReason;
 
     /**
-     * Where a watch begins.
+     * The initial state of a watch.
      *
-     * @param address that of discovery
-     * @param configuredAddress reads the address from the configuration again
-     * @param known the list to continue from
-     * @param version its version
-     * @param seed of the random timeouts
+     * @param address the address of discovery
+     * @param configuredAddress reads the address from the current configuration
+     * @param known the initial endpoint list
+     * @param version the version of that list
+     * @param seed the seed of the random timeouts
      */
     public record InitialState(
             InetSocketAddress address,
@@ -48,7 +48,7 @@
             long version,
             long seed) {}
 
-    /** Delivers updates on the event loop. */
+    /** {@code listener} receives updates on the event loop. */
     public HttpEndpointWatch(
             Transport transport,
             EventLoop loop,
@@ -73,20 +73,20 @@
         scheduleTimer();
     }
 
-    /** Continues at the configured address; the previous one may close its connections. */
+    /** Switches to the configured address; the server at the previous address may close its connections. */
     @Override
     public void reload() {
         InetSocketAddress configured;
         try {
             configured = configuredAddress.read();
         } catch (IOException | IllegalArgumentException e) {
-            LOG.warn("configuration unreadable, keeping {}: {}", address, e.getMessage());
+            LOG.warn("cannot reload the configuration; keeping discovery address {}: {}", address, e.getMessage());
             return;
         }
         if (closed || configured.equals(address)) {
             return;
         }
-        LOG.info("discovery migrates from {} to {}", address, configured);
+        LOG.info("discovery address changed from {} to {}; requesting the full endpoint list", address, configured);
         address = configured;
         watch.onServerChanged(clock.now());
         scheduleTimer();
@@ -110,7 +110,9 @@
 
     @Override
     public void end(long call) {
-        failureReason = currentCall.isConnected() ? "silent past its long-poll timeout" : "no connection in time";
+        failureReason = currentCall.isConnected()
+                ? "no response after the long-poll timeout"
+                : "no connection within the connect timeout";
         currentCall.end();
     }
 
@@ -131,7 +133,7 @@
         }
     }
 
-    /** Sets the timer to when the watch wants to be called next; logs when discovery begins and ceases to fail. */
+    /** Schedules the watch's next timer; logs when discovery starts failing and when it has recovered. */
     private void scheduleTimer() {
         if (timer != null) {
             timer.cancel();
@@ -142,7 +144,7 @@
         boolean failingNow = watch.failingSince() < Long.MAX_VALUE;
         if (failingNow != failing) {
             failing = failingNow;
-            LOG.info("discovery {}: {}", address, failing ? failureReason : "answers again");
+            LOG.info("discovery {}: {}", address, failing ? failureReason : "recovered");
         }
     }
 
@@ -174,8 +176,8 @@
         try {
             onList(call, codec.parse(body));
         } catch (EndpointListFormatException e) {
-            LOG.warn("discovery's response unreadable: {}", e.getMessage());
-            failureReason = "unreadable";
+            LOG.warn("cannot parse discovery response; keeping the current endpoint list: {}", e.getMessage());
+            failureReason = "response cannot be parsed";
             watch.onFailure(call.number(), clock.now());
         }
         scheduleTimer();
@@ -189,17 +191,17 @@
             }
             return;
         }
-        String unreadable = EndpointList.firstFault(list.entries());
-        if (unreadable != null) {
-            LOG.warn("discovery's response unreadable in part: {}", unreadable);
-            failureReason = "unreadable in part";
+        String fault = EndpointList.firstFault(list.entries());
+        if (fault != null) {
+            LOG.warn("discovery response has unreadable entries; using their last known state: {}", fault);
+            failureReason = "response has unreadable entries";
         }
-        if (watch.onResponse(call.number(), list.version(), unreadable == null, clock.now())) {
+        if (watch.onResponse(call.number(), list.version(), fault == null, clock.now())) {
             endDetachedCall();
             listener.accept(endpointList.merge(list.full(), list.entries()));
         } else {
-            LOG.warn("discovery's response is older than the list: {}", list.version());
-            failureReason = "older than before";
+            LOG.warn("discovery response rejected: version {} is older than the current endpoint list", list.version());
+            failureReason = "response is older than the current endpoint list";
         }
     }
 }
--- a/src/main/java/crankwick/discovery/ResponseAssembler.java
+++ b/src/main/java/crankwick/discovery/ResponseAssembler.java
@@ -9,11 +9,11 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
 /**
- * Assembles the response to a {@link DiscoveryCall}. One without a length ends with its connection, however that
- * ends: half a list can't be parsed.
+ * Assembles the response to a {@link DiscoveryCall}. A response without a length ends when its connection closes, for
+ * whatever reason: a truncated list fails to parse.
  */
 final class ResponseAssembler extends BaseFilter {
-    /** Bounds memory; a list of 1,024 databases takes a seventh of it, indented. */
+    /** Limits memory use; an indented list of 1,024 databases takes a seventh of this. */
     private static final int MAX_BODY_BYTES = 2 << 20;
 
     private static final int STATUS_OK = 200;
@@ -37,7 +37,7 @@
         content.getContent().get(part);
         body.writeBytes(part);
         if (body.size() > MAX_BODY_BYTES) {
-            call.fail("a response of over " + MAX_BODY_BYTES + " bytes");
+            call.fail("response exceeds " + MAX_BODY_BYTES + " bytes");
         } else if (content.isLast()) {
             complete();
         }
@@ -49,7 +49,7 @@
         if (endsWithConnection) {
             complete();
         } else {
-            call.fail("the connection ended");
+            call.fail("connection closed before the response was complete");
         }
         return context.getStopAction();
     }
@@ -58,7 +58,7 @@
         if (status == STATUS_OK) {
             call.respond(body.toString(StandardCharsets.UTF_8));
         } else {
-            call.fail("status " + status);
+            call.fail("HTTP status " + status);
         }
     }
 }
--- a/src/main/java/crankwick/discovery/package-info.java
+++ b/src/main/java/crankwick/discovery/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The list of databases: HTTP watch and DNS-SD records, and one owner of when discovery is asked.
+ * Endpoint discovery over HTTP long polling or from DNS-SD records in a zone file.
  */
 package crankwick.discovery;
