--- a/src/test/java/crankwick/discovery/EndpointListTest.java
+++ b/src/test/java/crankwick/discovery/EndpointListTest.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** What is made of lists that can't be read whole, that repeat or contradict themselves. */
+/** Updates from lists with unreadable, duplicate or contradictory entries. */
 public class EndpointListTest {
     private static final EndpointListCodec CODEC = new EndpointListCodec(List.of("a"));
 
@@ -31,61 +31,69 @@
                 .entries();
     }
 
-    private static Map<String, EndpointStatus> standings(Discovery.ListUpdate news) {
-        Map<String, EndpointStatus> standings = new TreeMap<>();
-        news.endpoints().forEach(m -> standings.put(m.id(), m.status()));
-        return standings;
+    private static Map<String, EndpointStatus> statuses(Discovery.ListUpdate update) {
+        Map<String, EndpointStatus> statuses = new TreeMap<>();
+        update.endpoints().forEach(endpoint -> statuses.put(endpoint.id(), endpoint.status()));
+        return statuses;
     }
 
-    private static EndpointList listing() {
+    private static EndpointList endpointList() {
         return new EndpointList(EndpointList.requireComplete(entries(entry("s", "up"), entry("t", "up")))
                 .discoveredEndpoints());
     }
 
-    /** Guards against a drain passed over because something else of its entry can't be read. */
+    /** Guards against a drain that is ignored because another field of its entry is unreadable. */
     @Test
-    public void drainCountsThoughTheRestOfItsEntryCantBeRead() {
-        EndpointList listing = listing();
+    public void drainIsAppliedWhenOtherFieldsOfItsEntryAreUnreadable() {
+        EndpointList endpointList = endpointList();
         List<EndpointList.Entry> entries = entries(unreadable(entry("s", "draining")), entry("t", "up"));
         assertNotNull(EndpointList.firstFault(entries));
-        Discovery.ListUpdate news = listing.merge(true, entries);
-        assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.LIVE));
-        assertEquals(news.kind(), EndpointUpdateKind.FULL, "all are named");
-        news = listing.merge(false, entries(unreadable(entry("s", "up"))));
-        assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING), "half an entry undoes no drain");
-        news = listing.merge(false, entries(unreadable(entry("s", "odd")), unreadable(entry("t", "removed"))));
-        assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.REMOVED));
+        Discovery.ListUpdate update = endpointList.merge(true, entries);
+        assertEquals(statuses(update), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.LIVE));
+        assertEquals(update.kind(), EndpointUpdateKind.FULL, "all ids are readable");
+        update = endpointList.merge(false, entries(unreadable(entry("s", "up"))));
         assertEquals(
-                standings(listing.merge(false, entries(unreadable(entry("t", "up"))))),
+                statuses(update),
+                Map.of("s", EndpointStatus.DRAINING),
+                "a partly readable entry does not undo a drain");
+        update = endpointList.merge(false, entries(unreadable(entry("s", "odd")), unreadable(entry("t", "removed"))));
+        assertEquals(statuses(update), Map.of("s", EndpointStatus.DRAINING, "t", EndpointStatus.REMOVED));
+        assertEquals(
+                statuses(endpointList.merge(false, entries(unreadable(entry("t", "up"))))),
                 Map.of(),
-                "what has left is not known any more");
+                "a removed endpoint has no last known state");
     }
 
-    /** Guards against databases that have left staying for good because of somebody else's entry. */
+    /** Guards against removed databases being kept because of another endpoint's unreadable entry. */
     @Test
-    public void wholeListRemovesWhoIsNotNamedUnlessAnEntrysNameCantBeRead() {
+    public void completeListRemovesMissingEndpointsUnlessAnIdIsUnreadable() {
+        assertEquals(
+                endpointList()
+                        .merge(true, entries(unreadable(entry("s", "up"))))
+                        .kind(),
+                EndpointUpdateKind.FULL);
+        Discovery.ListUpdate update = endpointList().merge(true, entries(entry("s", "up"), "{\"state\":\"up\"}", "7"));
+        assertEquals(update.kind(), EndpointUpdateKind.INCREMENTAL);
+        assertEquals(statuses(update), Map.of("s", EndpointStatus.LIVE));
         assertEquals(
-                listing().merge(true, entries(unreadable(entry("s", "up")))).kind(), EndpointUpdateKind.FULL);
-        Discovery.ListUpdate news = listing().merge(true, entries(entry("s", "up"), "{\"state\":\"up\"}", "7"));
-        assertEquals(news.kind(), EndpointUpdateKind.INCREMENTAL);
-        assertEquals(standings(news), Map.of("s", EndpointStatus.LIVE));
-        assertEquals(listing().merge(true, entries()).kind(), EndpointUpdateKind.FULL, "an empty list is a list");
+                endpointList().merge(true, entries()).kind(), EndpointUpdateKind.FULL, "an empty list is complete");
     }
 
     @Test
-    public void databaseNamedTwiceDrainsIfEitherSaysSo() {
+    public void duplicateEntriesDrainTheEndpointIfEitherIsDraining() {
         for (String[] states : new String[][] {{"up", "draining"}, {"draining", "up"}}) {
-            Discovery.ListUpdate news = listing().merge(true, entries(entry("s", states[0]), entry("s", states[1])));
-            assertEquals(standings(news), Map.of("s", EndpointStatus.DRAINING));
+            Discovery.ListUpdate update =
+                    endpointList().merge(true, entries(entry("s", states[0]), entry("s", states[1])));
+            assertEquals(statuses(update), Map.of("s", EndpointStatus.DRAINING));
         }
     }
 
-    /** By seed: whatever else can't be read, a drain that was told stands until the database is up again. */
+    /** Random lists from a fixed seed: a drain lasts until a readable entry reports the database as up. */
     @Test
-    public void noDrainIsUndoneByWhatCantBeRead() {
+    public void unreadableEntriesNeverUndoADrain() {
         SplittableRandom random = new SplittableRandom(7);
         for (int round = 0; round < 200; round++) {
-            EndpointList listing = listing();
+            EndpointList endpointList = endpointList();
             boolean draining = false;
             for (int i = 0; i < 20; i++) {
                 String state = List.of("up", "draining", "odd").get(random.nextInt(3));
@@ -93,15 +101,15 @@
                 List<String> entries = new ArrayList<>(List.of(entry("t", "up")));
                 entries.add(random.nextInt(2), readable ? entry("s", state) : unreadable(entry("s", state)));
                 draining = state.equals("draining") || draining && !(readable && state.equals("up"));
-                Discovery.ListUpdate news =
-                        listing.merge(random.nextBoolean(), entries(entries.toArray(String[]::new)));
-                assertEquals(standings(news).get("s"), draining ? EndpointStatus.DRAINING : EndpointStatus.LIVE);
+                Discovery.ListUpdate update =
+                        endpointList.merge(random.nextBoolean(), entries(entries.toArray(String[]::new)));
+                assertEquals(statuses(update).get("s"), draining ? EndpointStatus.DRAINING : EndpointStatus.LIVE);
             }
         }
     }
 
     @Test
-    public void configurationHoldsOnlyWhatCanBeRead() {
+    public void configurationRejectsUnreadableEntries() {
         assertNull(EndpointList.firstFault(entries(entry("s", "up"))));
         try {
             EndpointList.requireComplete(entries(entry("s", "up"), unreadable(entry("t", "up"))));
@@ -109,6 +117,6 @@
             assertEquals(e.getMessage().substring(0, 12), "servers[1]: ");
             return;
         }
-        throw new AssertionError("taken");
+        throw new AssertionError("a list with an unreadable entry was accepted");
     }
 }
--- a/src/test/java/crankwick/discovery/EndpointWatchTest.java
+++ b/src/test/java/crankwick/discovery/EndpointWatchTest.java
@@ -13,12 +13,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** When discovery is called and what is taken of its answers; fleets before it, in simulated time by seed. */
+/** When discovery is called and which responses are accepted; also simulates fleets with fixed seeds. */
 public class EndpointWatchTest {
     private static final long SECOND = 1_000_000;
 
-    private static DrainSimulation lab(int proxies, long seed, long lateness) {
-        return new DrainSimulation(new DrainSimulation.Options(proxies, 20, seed, 1_900_000, lateness));
+    private static DrainSimulation simulation(int proxies, long seed, long timerDelay) {
+        return new DrainSimulation(new DrainSimulation.Options(proxies, 20, seed, 1_900_000, timerDelay));
     }
 
     @DataProvider
@@ -27,83 +27,86 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void everyDrainIsHeardInTime(int proxies, int seed) {
-        DrainSimulation lab = lab(proxies, seed, 0);
-        Map<String, Object> figures = lab.run().figures();
-        assertNull(lab.violation(), lab.violation());
+    public void everyDrainIsReceivedInTime(int proxies, int seed) {
+        DrainSimulation simulation = simulation(proxies, seed, 0);
+        Map<String, Object> figures = simulation.run().figures();
+        assertNull(simulation.violation(), simulation.violation());
         assertEquals(figures.get("heard_late"), 0L);
         assertEquals(figures.get("not_heard"), 0L);
         double perSecond = (double) figures.get("calls_per_proxy_s");
         assertTrue(perSecond > 0.2 && perSecond < 0.5, figures.toString());
     }
 
-    /** The check finds a defect: timers that are 5 s late let drains pass. */
+    /** The simulation detects a defect: with timers that are 5 s late, proxies receive drains too late. */
     @Test
-    public void lateTimersAreFound() {
-        DrainSimulation lab = lab(120, 5, 5 * SECOND);
-        assertTrue((long) lab.run().figures().get("heard_late") > 0);
-        assertNotNull(lab.violation());
+    public void lateTimersAreDetected() {
+        DrainSimulation simulation = simulation(120, 5, 5 * SECOND);
+        assertTrue((long) simulation.run().figures().get("heard_late") > 0);
+        assertNotNull(simulation.violation());
     }
 
-    /** Notes what is asked for, and the calls that are ended as negative numbers. */
-    private static EndpointWatch keeper(List<Long> asked) {
+    /** Records the requested versions, and the ended or detached calls as negative numbers. */
+    private static EndpointWatch newWatch(List<Long> requests) {
         return new EndpointWatch(41, 1, new EndpointWatch.Calls() {
             @Override
-            public void open(long call, long from, long hold) {
-                asked.add(from);
+            public void open(long call, long fromVersion, long longPollTimeout) {
+                requests.add(fromVersion);
             }
 
             @Override
             public void end(long call) {
-                asked.add(-call);
+                requests.add(-call);
             }
 
             @Override
             public void detach(long call) {
-                asked.add(-call);
+                requests.add(-call);
             }
         });
     }
 
     @Test
-    public void olderAnswerIsTakenOnlyWhenTheWholeListSaysSoAgain() {
-        List<Long> asked = new ArrayList<>();
-        EndpointWatch keeper = keeper(asked);
-        keeper.start(0);
-        keeper.onTimer(SECOND);
-        assertFalse(keeper.onResponse(1, 7, true, SECOND));
-        keeper.onTimer(2 * SECOND);
-        assertTrue(keeper.onResponse(2, 7, true, 2 * SECOND));
-        assertEquals(asked, List.of(41L, EndpointWatch.FULL_LIST, 7L));
-        assertTrue(keeper.onResponse(3, 9, false, 3 * SECOND), "what can be read of it counts");
-        assertTrue(keeper.nextTimerAt() > 3 * SECOND);
-        keeper.onTimer(4 * SECOND);
-        assertEquals(asked.get(3), Long.valueOf(7), "and is asked for again");
-        assertTrue(keeper.onResponse(4, 7, true, 4 * SECOND));
-        assertEquals(asked.size(), 4, "nothing newer before its time: no call at once");
-        keeper.onServerChanged(5 * SECOND);
-        assertEquals(asked.get(4), Long.valueOf(EndpointWatch.FULL_LIST));
+    public void olderVersionIsAcceptedOnlyAfterTheFullListRepeatsIt() {
+        List<Long> requests = new ArrayList<>();
+        EndpointWatch watch = newWatch(requests);
+        watch.start(0);
+        watch.onTimer(SECOND);
+        assertFalse(watch.onResponse(1, 7, true, SECOND));
+        watch.onTimer(2 * SECOND);
+        assertTrue(watch.onResponse(2, 7, true, 2 * SECOND));
+        assertEquals(requests, List.of(41L, EndpointWatch.FULL_LIST, 7L));
+        assertTrue(watch.onResponse(3, 9, false, 3 * SECOND), "the readable entries are accepted");
+        assertTrue(watch.nextTimerAt() > 3 * SECOND);
+        watch.onTimer(4 * SECOND);
+        assertEquals(requests.get(3), Long.valueOf(7), "and the list is requested again");
+        assertTrue(watch.onResponse(4, 7, true, 4 * SECOND));
+        assertEquals(requests.size(), 4, "an early response without changes does not trigger the next call at once");
+        watch.onServerChanged(5 * SECOND);
+        assertEquals(requests.get(4), Long.valueOf(EndpointWatch.FULL_LIST));
     }
 
-    /** Guards against an entry that stays unreadable having every proxy open watch after watch. */
+    /** Guards against an entry that stays unreadable making every proxy reopen its watch without limit. */
     @Test
-    public void whatStaysUnreadableIsAskedForAgainAFewTimesForEachVersion() {
-        List<Long> asked = new ArrayList<>();
-        EndpointWatch keeper = keeper(asked);
-        keeper.onServerChanged(0);
+    public void unreadableEntriesAreRetriedALimitedNumberOfTimesPerVersion() {
+        List<Long> requests = new ArrayList<>();
+        EndpointWatch watch = newWatch(requests);
+        watch.onServerChanged(0);
         long now = 0;
         for (long version : new long[] {50, 50, 50, 50, 51, 51, 52}) {
-            // Past every pause, before an open call is given up.
+            // Longer than any backoff, but shorter than the timeout of an open call.
             now += EndpointWatch.MAX_BACKOFF_MICROS
                     + (EndpointWatch.CONNECT_TIMEOUT_MICROS - EndpointWatch.MAX_BACKOFF_MICROS) / 2;
-            keeper.onTimer(now);
-            assertTrue(keeper.onResponse(asked.size(), version, false, now), "what can be read counts");
+            watch.onTimer(now);
+            assertTrue(watch.onResponse(requests.size(), version, false, now), "the readable entries are accepted");
         }
-        long whole = EndpointWatch.FULL_LIST;
-        assertEquals(asked, List.of(whole, whole, whole, whole, 50L, 50L, 50L), "on from 50 at the fourth");
+        long full = EndpointWatch.FULL_LIST;
+        assertEquals(
+                requests,
+                List.of(full, full, full, full, 50L, 50L, 50L),
+                "continues from version 50 after the fourth response");
         now += EndpointWatch.MAX_BACKOFF_MICROS;
-        keeper.onTimer(now);
-        assertTrue(keeper.onResponse(8, 52, true, now), "and a readable one has the trouble end");
-        assertEquals(keeper.failingSince(), Long.MAX_VALUE);
+        watch.onTimer(now);
+        assertTrue(watch.onResponse(8, 52, true, now), "a readable list ends the failure");
+        assertEquals(watch.failingSince(), Long.MAX_VALUE);
     }
 }
