--- a/src/main/java/crankwick/database/PooledConnection.java
+++ b/src/main/java/crankwick/database/PooledConnection.java
@@ -33,13 +33,13 @@
         /** The socket is connected; the database has not greeted it yet. */
         void onConnected(Connection<SocketAddress> socket, PooledConnection connection);
 
-        /** The connection has become idle. */
+        /** Returns the connection, which has become idle, to the pool. */
         void release(PooledConnection connection);
 
         /** The connection is being closed; {@code socket} is null if it was never connected. */
         void onDiscarded(PooledConnection connection, Connection<SocketAddress> socket);
 
-        /** Dispatches an exchange whose command has not been sent to another connection. */
+        /** Moves an unsent exchange to another connection. */
         void reassign(Exchange unsent);
     }
 
@@ -346,8 +346,8 @@
         @Override
         public void completed(Connection<SocketAddress> connected) {
             connection.context.loop().execute(() -> connection.onConnected(connected));
-            // Not on the event loop: its delay must not look like a slow greeting. It runs onConnected before any
-            // reply.
+            // Written on this thread, so that a delayed event loop is not mistaken for a slow greeting. onConnected is
+            // queued first, so the event loop knows the socket before it handles the greeting.
             connected.write(new DatabaseCommand.Handshake());
         }
 
--- a/src/main/java/crankwick/discovery/EndpointWatch.java
+++ b/src/main/java/crankwick/discovery/EndpointWatch.java
@@ -64,7 +64,7 @@
     /** The last response was rejected as older than the list; a second one means that version numbering restarted. */
     private boolean olderVersionRejected;
     /** The version of the last response. */
-    private long partialResponseVersion = FULL_LIST;
+    private long lastResponseVersion = FULL_LIST;
 
     /** The number of consecutive responses with unreadable entries at that version. */
     private int partialResponses;
@@ -151,8 +151,8 @@
         boolean older = responseVersion < version;
         boolean accepted = !older || olderVersionRejected;
         olderVersionRejected = older && !accepted;
-        partialResponses = complete ? 0 : partialResponseVersion == responseVersion ? partialResponses + 1 : 1;
-        partialResponseVersion = responseVersion;
+        partialResponses = complete ? 0 : lastResponseVersion == responseVersion ? partialResponses + 1 : 1;
+        lastResponseVersion = responseVersion;
         boolean retry = !accepted || !complete && partialResponses < MAX_PARTIAL_RESPONSES;
         fullListRequired = olderVersionRejected || fullListRequired && retry;
         if (retry) {
