--- a/src/main/java/crankwick/database/HealthCheckExchange.java
+++ b/src/main/java/crankwick/database/HealthCheckExchange.java
@@ -29,7 +29,7 @@
 
     @Override
     void onWritten() {
-        // The broker needs only the end of a health check.
+        // The broker times a health check by its end only, not by when it was written.
     }
 
     @Override
