--- a/src/test/java/crankwick/app/OnBothWires.java
+++ b/src/test/java/crankwick/app/BothWiresFixture.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 
 /** What the checks on sockets share: both wires, and requests whose numbers tell whose answer it is. */
-abstract class OnBothWires {
+abstract class BothWiresFixture {
     private int ids;
 
     /** Both wires. */
@@ -21,16 +21,16 @@
                 + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
     }
 
-    final String id() {
+    final String lastId() {
         return Integer.toString(ids);
     }
 
-    final void served(TestWireClient.Answer answer, String server) {
-        assertEquals(answer.value(), server + ":" + id(), answer.toString());
+    final void assertServedBy(TestWireClient.Answer answer, String server) {
+        assertEquals(answer.value(), server + ":" + lastId(), answer.toString());
     }
 
-    static void kept(Deployment d) {
-        assertEquals(d.ledger.broken, List.of());
-        assertEquals(d.errors(), List.of(), d.log.toString());
+    static void assertNoViolations(Deployment d) {
+        assertEquals(d.attemptLog.violations, List.of());
+        assertEquals(d.errorLines(), List.of(), d.log.toString());
     }
 }
--- a/src/test/java/crankwick/app/ClientDisconnectIT.java
+++ b/src/test/java/crankwick/app/ClientDisconnectIT.java
@@ -14,7 +14,7 @@
  * once they have gone. The program runs as a process; databases break the connection under each attempt, so that
  * it would be sent again.
  */
-public class ClientDisconnectIT extends OnBothWires {
+public class ClientDisconnectIT extends BothWiresFixture {
     private static final int LARGE = 80_000;
     private static final int MEDIUM = 40_000;
     private static final int MANY = 1_100;
@@ -60,21 +60,21 @@
         try (Deployment d = new Deployment(wire);
                 Deployment.Client leaver = d.client()) {
             d.databases.forEach(database -> database.delayMs = ATTEMPT_MS);
-            d.databases.forEach(database -> database.word = "BREAK");
+            d.databases.forEach(database -> database.replyKind = "DISCONNECT");
             String write = send(leaver, sent);
             Thread.sleep(LEAVES_AFTER_MS);
             awaitAttempt(d, write);
             leave(wire, leaver, way);
             Thread.sleep(WATCHED_MS);
-            assertEquals(d.ledger.sent(write), 1, d.log.toString());
-            kept(d);
+            assertEquals(d.attemptLog.countAttempts(write), 1, d.log.toString());
+            assertNoViolations(d);
         }
     }
 
     /** On a busy machine the attempt may take longer to arrive; a client that left before would have none. */
     private static void awaitAttempt(Deployment d, String write) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ATTEMPT_ARRIVES_WITHIN_MS);
-        while (d.ledger.sent(write) == 0 && System.nanoTime() < deadline) {
+        while (d.attemptLog.countAttempts(write) == 0 && System.nanoTime() < deadline) {
             Thread.sleep(1);
         }
     }
@@ -83,7 +83,7 @@
     private String send(Deployment.Client client, Sent sent) throws IOException {
         String padding = sent == Sent.LARGE_WRITE ? "x".repeat(LARGE) : "";
         client.send(statement("reserve", 3_000, "") + padding);
-        String write = id();
+        String write = lastId();
         if (sent == Sent.MANY_COMMANDS_BEHIND) {
             for (int i = 0; i < MANY; i++) {
                 client.send("SELECT 1");
@@ -98,7 +98,7 @@
 
     private static void leave(TestWireClient wire, Deployment.Client client, Way way) throws IOException {
         switch (way) {
-            case CANCEL -> ((TdsTestClient) wire).attention(client.socket);
+            case CANCEL -> ((TdsTestClient) wire).sendAttention(client.socket);
             case RESET -> {
                 client.socket.setSoLinger(true, 0);
                 client.close();
@@ -117,15 +117,15 @@
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 2_800;
             client.send(statement("reserve", 5_000, "") + "x".repeat(LARGE));
-            String first = id();
-            byte[] second = wire.command(statement("map-view", 5_000, ""), 0);
+            String first = lastId();
+            byte[] second = wire.encodeCommand(statement("map-view", 5_000, ""), 0);
             client.socket.getOutputStream().write(second, 0, second.length - 7);
             Thread.sleep(1_000);
             client.socket.getOutputStream().write(second, second.length - 7, 7);
-            assertEquals(client.answer().value(), "s-a:" + first);
-            TestWireClient.Answer answer = client.answer();
+            assertEquals(client.readAnswer().value(), "s-a:" + first);
+            TestWireClient.Answer answer = client.readAnswer();
             assertEquals(answer.kind(), "SERVED", answer + " " + d.log);
-            kept(d);
+            assertNoViolations(d);
         }
     }
 }
--- a/src/test/java/crankwick/app/ClientListenerIT.java
+++ b/src/test/java/crankwick/app/ClientListenerIT.java
@@ -28,10 +28,10 @@
             client.send(statement("1", "reserve"));
             client.send(statement("2", "map-view"));
             client.send("");
-            assertEquals(client.answer().value(), "s-a:1");
-            assertTrue(client.answer().value().endsWith(":2"));
-            assertEquals(client.answer().kind(), "EMPTY");
-            assertEquals(d.ledger.at("s-a").size(), 1);
+            assertEquals(client.readAnswer().value(), "s-a:1");
+            assertTrue(client.readAnswer().value().endsWith(":2"));
+            assertEquals(client.readAnswer().kind(), "EMPTY");
+            assertEquals(d.attemptLog.attemptsAt("s-a").size(), 1);
         }
     }
 
@@ -50,7 +50,7 @@
                 Thread.sleep(1);
             }
             assertEquals(
-                    wire.answer(new java.io.DataInputStream(socket.getInputStream()))
+                    wire.readAnswer(new java.io.DataInputStream(socket.getInputStream()))
                             .kind(),
                     "SERVED");
         }
@@ -65,27 +65,27 @@
                 Deployment.Client third = d.new Client("reports");
                 Deployment.Client collectors = d.client()) {
             assertThrows(EOFException.class, () -> d.new Client("strangers"));
-            assertEquals(reports.ask(statement("1", "reserve")).code(), "50203");
+            assertEquals(reports.execute(statement("1", "reserve")).code(), "50203");
             d.databases.forEach(database -> database.delayMs = 3_000);
             reports.send(statement("2", "map-view"));
             more.send(statement("3", "map-view"));
             Thread.sleep(100);
-            TestWireClient.Answer over = third.ask(statement("4", "map-view"));
+            TestWireClient.Answer over = third.execute(statement("4", "map-view"));
             assertEquals(over.code(), "50103", over.toString());
             assertTrue(over.retryAfter() > 0, over.toString());
             // Their deadline is capped at 400 ms, though they would wait longer.
             long start = System.nanoTime();
-            assertTrue(reports.answer().kind().matches("REFUSED|FAILED"));
-            assertTrue(more.answer().kind().matches("REFUSED|FAILED"));
+            assertTrue(reports.readAnswer().kind().matches("REFUSED|FAILED"));
+            assertTrue(more.readAnswer().kind().matches("REFUSED|FAILED"));
             assertTrue(System.nanoTime() - start < 1_500_000_000L);
             d.databases.forEach(database -> database.delayMs = 0);
             TestWireClient.Answer last = null;
             for (int i = 5; i < 60 && (last == null || !last.code().equals("50102")); i++) {
-                last = third.ask(statement("" + i, "map-view"));
+                last = third.execute(statement("" + i, "map-view"));
             }
             assertEquals(last.code(), "50102");
             assertTrue(last.retryAfter() > 0 && last.retryAfter() <= 200, last.toString());
-            assertEquals(collectors.ask(statement("60", "reserve")).kind(), "SERVED");
+            assertEquals(collectors.execute(statement("60", "reserve")).kind(), "SERVED");
         }
     }
 
@@ -98,9 +98,9 @@
             d.primary().delayMs = 500;
             client.send(statement("1", "reserve"));
             Thread.sleep(100);
-            wire.attention(client.socket);
-            assertEquals(client.answer().kind(), "ATTENTION");
-            assertEquals(client.ask(statement("2", "reserve")).value(), "s-a:2");
+            wire.sendAttention(client.socket);
+            assertEquals(client.readAnswer().kind(), "ATTENTION");
+            assertEquals(client.execute(statement("2", "reserve")).value(), "s-a:2");
         }
     }
 
--- a/src/test/java/crankwick/app/ClientsIT.java
+++ b/src/test/java/crankwick/app/ClientsIT.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** Clients of all habits, and the end of the process, the same checks on both wires. */
-public class ClientsIT extends OnBothWires {
+public class ClientsIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
     public void statementThatCantBeReadFailsAlone(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
@@ -31,13 +31,13 @@
                     "id=,c=map-view,d=480,cluster=0",
                     ",,=,");
             for (String hint : hints) {
-                assertEquals(client.ask("/* " + hint + " */ SELECT 1").kind(), "FAILED", hint);
+                assertEquals(client.execute("/* " + hint + " */ SELECT 1").kind(), "FAILED", hint);
             }
-            assertEquals(client.ask("SELECT 1").kind(), "FAILED");
-            assertEquals(client.ask("/* id=1").kind(), "FAILED");
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
-            assertEquals(d.ledger.seen.size(), 1);
-            kept(d);
+            assertEquals(client.execute("SELECT 1").kind(), "FAILED");
+            assertEquals(client.execute("/* id=1").kind(), "FAILED");
+            assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
+            assertEquals(d.attemptLog.attempts.size(), 1);
+            assertNoViolations(d);
         }
     }
 
@@ -45,7 +45,7 @@
     public void nonsenseEndsOnlyItsOwnConnection(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            for (byte[] bytes : wire.nonsense()) {
+            for (byte[] bytes : wire.invalidInputs()) {
                 for (boolean loggedIn : new boolean[] {false, true}) {
                     try (Socket socket = d.connect()) {
                         if (loggedIn) {
@@ -56,9 +56,9 @@
                         readToEnd(socket);
                     }
                 }
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -67,12 +67,12 @@
     public void whoDoesNotAskInTimeOrWithoutEndIsLetGo(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+            assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
                 silent.add(d.connect());
             }
-            for (byte[] bytes : new byte[][] {{0}, wire.command(statement("map-view", 1000, ""), 1)}) {
+            for (byte[] bytes : new byte[][] {{0}, wire.encodeCommand(statement("map-view", 1000, ""), 1)}) {
                 silent.add(d.connect());
                 if (bytes.length > 1) {
                     wire.login(silent.get(silent.size() - 1), "collectors");
@@ -81,9 +81,9 @@
             }
             for (int i = 0; i < 40; i++) {
                 try (Deployment.Client more = d.client()) {
-                    assertEquals(more.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                    assertEquals(more.execute(statement("map-view", 1000, "")).kind(), "SERVED");
                 }
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
             long start = System.nanoTime();
             for (Socket socket : silent) {
@@ -91,7 +91,7 @@
                 socket.close();
             }
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(8));
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -102,12 +102,12 @@
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 300;
             client.send(statement("reserve", 3000, ""));
-            String before = id();
-            client.socket.getOutputStream().write(wire.command("x".repeat(4 << 20), 0));
-            assertEquals(client.answer().value(), "s-a:" + before);
-            assertEquals(client.answer().kind(), "FAILED");
-            assertEquals(client.answer().kind(), "CLOSED");
-            kept(d);
+            String before = lastId();
+            client.socket.getOutputStream().write(wire.encodeCommand("x".repeat(4 << 20), 0));
+            assertEquals(client.readAnswer().value(), "s-a:" + before);
+            assertEquals(client.readAnswer().kind(), "FAILED");
+            assertEquals(client.readAnswer().kind(), "CLOSED");
+            assertNoViolations(d);
         }
     }
 
@@ -116,19 +116,19 @@
     public void hundredsOfCommandsAtOnceAreAllAnsweredInTurn(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            int last = Integer.parseInt(id());
+            int last = Integer.parseInt(lastId());
             for (int i = 0; i < 400; i++) {
                 client.send(i % 2 == 0 ? statement("map-view", 10_000, "") : "SELECT " + i);
             }
             for (int i = 0; i < 400; i++) {
-                TestWireClient.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.readAnswer();
                 assertTrue(
                         i % 2 == 1
                                 ? answer.kind().equals("FAILED")
                                 : answer.value() == null || answer.value().endsWith(":" + (last + 1 + i / 2)),
                         i + " " + answer);
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -142,10 +142,10 @@
             String statement = statement("reserve", 3000, "");
             client.send(statement);
             Thread.sleep(100);
-            assertEquals(other.ask(statement).kind(), "FAILED");
-            served(client.answer(), "s-a");
-            assertEquals(d.ledger.seen.size(), 1);
-            kept(d);
+            assertEquals(other.execute(statement).kind(), "FAILED");
+            assertServedBy(client.readAnswer(), "s-a");
+            assertEquals(d.attemptLog.attempts.size(), 1);
+            assertNoViolations(d);
         }
     }
 
@@ -167,8 +167,8 @@
                 leaver.send(statement("reserve", 3000, ""));
                 Thread.sleep(100);
             }
-            assertEquals(client.ask(statement("reserve", 3000, "")).kind(), "SERVED");
-            kept(d);
+            assertEquals(client.execute(statement("reserve", 3000, "")).kind(), "SERVED");
+            assertNoViolations(d);
         }
     }
 
@@ -176,7 +176,7 @@
     @Test(dataProvider = "wires")
     public void nothingIsBegunForAClientThatHasGone(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0")) {
-            d.databases.forEach(database -> database.greetMs = 1_000);
+            d.databases.forEach(database -> database.greetingDelayMs = 1_000);
             for (String className : List.of("reserve", "map-view")) {
                 try (Deployment.Client leaver = d.client()) {
                     leaver.send(statement(className, 3000, ""));
@@ -184,11 +184,11 @@
                 }
             }
             Thread.sleep(1_500);
-            assertEquals(d.ledger.seen, List.of());
+            assertEquals(d.attemptLog.attempts, List.of());
             try (Deployment.Client client = d.client()) {
-                served(client.ask(statement("reserve", 3000, "")), "s-a");
+                assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -197,18 +197,18 @@
     public void requestBehindAnotherAfterSigtermIsAnsweredBeforeTheEnd(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.word = "SILENT");
+            d.databases.forEach(database -> database.replyKind = "NO_REPLY");
             client.send(statement("reserve", 3000, ""));
             Thread.sleep(100);
             d.process.toHandle().destroy();
             Thread.sleep(1_200);
             client.send(statement("reserve", 3000, ""));
             for (int i = 0; i < 2; i++) {
-                TestWireClient.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.readAnswer();
                 assertTrue(answer.kind().matches("FAILED|REFUSED"), i + ": " + answer);
             }
             assertTrue(d.process.waitFor(10, TimeUnit.SECONDS));
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -228,17 +228,17 @@
             d.process.toHandle().destroy();
             Thread.sleep(100);
             late.send(statement("map-view", 1000, ""));
-            assertEquals(late.answer().kind(), "SERVED");
+            assertEquals(late.readAnswer().kind(), "SERVED");
             for (Deployment.Client client : clients) {
-                assertEquals(client.answer().kind(), "SERVED");
+                assertEquals(client.readAnswer().kind(), "SERVED");
                 client.close();
             }
-            assertEquals(idle.answer().kind(), "CLOSED");
-            String counters = d.end();
+            assertEquals(idle.readAnswer().kind(), "CLOSED");
+            String counters = d.terminate();
             assertTrue(
                     counters.contains("received=4 sent=4") && counters.contains("served=4 rejected={} failed={}"),
                     counters);
-            kept(d);
+            assertNoViolations(d);
         }
     }
 }
--- a/src/test/java/crankwick/app/ConnectionRaceTest.java
+++ b/src/test/java/crankwick/app/ConnectionRaceTest.java
@@ -18,12 +18,13 @@
     public void commandReadAsTheProxyClosesIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            proxy.loop.execute(() -> proxy.front.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
-            client.write("1", WAIT_MS);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(client.answer());
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            proxy.loop.execute(
+                    () -> proxy.clientListener.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            client.sendWrite("1", WAIT_MS);
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(client.readAnswer());
         }
     }
 
@@ -32,15 +33,15 @@
     public void whoWaitsLongerThanTheProxyHasIsAnsweredBeforeItsEnd() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            proxy.database.word = "SILENT";
-            client.write("1", 20_000);
-            while (proxy.ledger.sent("1") == 0) {
+            proxy.database.replyKind = "NO_REPLY";
+            client.sendWrite("1", 20_000);
+            while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
             long latest = proxy.clock.now() + 500 * PausableProxyFixture.MS;
-            proxy.onLoop(() -> proxy.front.beginShutdown(latest));
-            assertEquals(client.answer(), "Failed");
-            assertNull(client.answer());
+            proxy.onLoop(() -> proxy.clientListener.beginShutdown(latest));
+            assertEquals(client.readAnswer(), "Failed");
+            assertNull(client.readAnswer());
             long late = proxy.clock.now() - latest;
             assertTrue(late >= 0 && late < 2_000 * PausableProxyFixture.MS, late + " us");
         }
@@ -52,12 +53,12 @@
         try (PausableProxyFixture proxy = new PausableProxyFixture(2);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
             Thread.sleep(2_500);
-            client.write("1", WAIT_MS);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(other.answer());
+            client.sendWrite("1", WAIT_MS);
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(other.readAnswer());
         }
     }
 
@@ -66,11 +67,11 @@
     public void commandReadAsItsConnectionMakesRoomIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(1);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            proxy.awaitReader();
-            client.write("1", WAIT_MS);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            proxy.awaitSelectorThread();
+            client.sendWrite("1", WAIT_MS);
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
         }
     }
 
@@ -79,14 +80,15 @@
     public void commandReadInHalfAsTheProxyClosesIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            client.begin("/* id=1,c=write,d=5000,k=k1,clus");
-            proxy.awaitReader();
-            hold.release();
-            proxy.onLoop(() -> proxy.front.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            client.sendPart("/* id=1,c=write,d=5000,k=k1,clus");
+            proxy.awaitSelectorThread();
+            pause.resume();
+            proxy.onLoop(
+                    () -> proxy.clientListener.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
             client.send("ter=0 */ INSERT");
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(client.answer());
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(client.readAnswer());
         }
     }
 
@@ -96,13 +98,13 @@
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
             PausableProxyFixture.Client leaver = proxy.new Client();
-            PausableProxyFixture.Hold beforeGreeting = greetedWhileHeld(proxy, leaver);
-            PausableProxyFixture.Hold beforeClose = proxy.queueHold();
+            PausableProxyFixture.LoopPause beforeGreeting = greetedWhileHeld(proxy, leaver);
+            PausableProxyFixture.LoopPause beforeClose = proxy.queueLoopPause();
             leaver.close();
             letGreetingPass(proxy, beforeGreeting, beforeClose);
-            other.write("2", WAIT_MS);
-            assertEquals(other.answer(), "Served primary:2");
-            assertEquals(proxy.ledger.sent("1"), 0, proxy.ledger.seen.toString());
+            other.sendWrite("2", WAIT_MS);
+            assertEquals(other.readAnswer(), "Served primary:2");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
@@ -111,43 +113,45 @@
     public void nothingIsWrittenForACommandThatHasJustBeenCancelled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold beforeGreeting = greetedWhileHeld(proxy, client);
-            PausableProxyFixture.Hold beforeCancel = proxy.queueHold();
+            PausableProxyFixture.LoopPause beforeGreeting = greetedWhileHeld(proxy, client);
+            PausableProxyFixture.LoopPause beforeCancel = proxy.queueLoopPause();
             client.send(LineProtocolCodec.CANCEL);
             letGreetingPass(proxy, beforeGreeting, beforeCancel);
-            assertEquals(client.answer(), "CancelAcknowledged");
-            client.write("2", WAIT_MS);
-            assertEquals(client.answer(), "Served primary:2");
-            assertEquals(proxy.ledger.sent("1"), 0, proxy.ledger.seen.toString());
+            assertEquals(client.readAnswer(), "CancelAcknowledged");
+            client.sendWrite("2", WAIT_MS);
+            assertEquals(client.readAnswer(), "Served primary:2");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
     /** A write of id 1 waits for its connection, whose greeting is behind the held loop when this returns. */
-    private static PausableProxyFixture.Hold greetedWhileHeld(
+    private static PausableProxyFixture.LoopPause greetedWhileHeld(
             PausableProxyFixture proxy, PausableProxyFixture.Client client) throws Exception {
-        proxy.database.greeting = new CountDownLatch(1);
-        client.write("1", WAIT_MS);
-        while (proxy.database.opened.get() == 0) {
+        proxy.database.greetingLatch = new CountDownLatch(1);
+        client.sendWrite("1", WAIT_MS);
+        while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
-        PausableProxyFixture.Hold hold = proxy.hold();
-        proxy.database.greeting.countDown();
-        while (proxy.database.greeted.get() == 0) {
+        PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+        proxy.database.greetingLatch.countDown();
+        while (proxy.database.greetedConnections.get() == 0) {
             Thread.sleep(1);
         }
-        proxy.awaitReader();
-        return hold;
+        proxy.awaitSelectorThread();
+        return pause;
     }
 
     /** The reader has seen the client go when the loop hears of the greeting; the loop hears of it after. */
     private static void letGreetingPass(
-            PausableProxyFixture proxy, PausableProxyFixture.Hold beforeGreeting, PausableProxyFixture.Hold beforeEnd)
+            PausableProxyFixture proxy,
+            PausableProxyFixture.LoopPause beforeGreeting,
+            PausableProxyFixture.LoopPause beforeEnd)
             throws Exception {
-        proxy.awaitReader();
-        beforeGreeting.release();
+        proxy.awaitSelectorThread();
+        beforeGreeting.resume();
         beforeEnd.await();
-        proxy.awaitReader();
-        beforeEnd.release();
+        proxy.awaitSelectorThread();
+        beforeEnd.resume();
     }
 
     /** A repeat's connection comes up after the window in which databases discard repeats. */
@@ -155,22 +159,22 @@
     public void repeatIsNotWrittenOnceItsKeysWindowIsOver() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            proxy.database.word = "BREAK";
+            proxy.database.replyKind = "DISCONNECT";
             proxy.database.delayMs = 200;
-            client.write("1", WAIT_MS);
-            while (proxy.ledger.sent("1") == 0) {
+            client.sendWrite("1", WAIT_MS);
+            while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
-            proxy.database.greeting = new CountDownLatch(1);
-            int opened = proxy.database.opened.get();
-            while (proxy.database.opened.get() == opened) {
+            proxy.database.greetingLatch = new CountDownLatch(1);
+            int opened = proxy.database.openedConnections.get();
+            while (proxy.database.openedConnections.get() == opened) {
                 Thread.sleep(1);
             }
             Thread.sleep(PausableProxyFixture.KEY_TTL / PausableProxyFixture.MS);
-            proxy.database.word = "VALUE";
-            proxy.database.greeting.countDown();
-            assertEquals(client.answer(), "Failed");
-            assertEquals(proxy.ledger.sent("1"), 1, proxy.ledger.seen.toString());
+            proxy.database.replyKind = "VALUE";
+            proxy.database.greetingLatch.countDown();
+            assertEquals(client.readAnswer(), "Failed");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 1, proxy.attemptLog.attempts.toString());
         }
     }
 
@@ -179,12 +183,12 @@
     public void lateLoopLeavesADatabaseLessTime() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            client.write("1", WAIT_MS);
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            client.sendWrite("1", WAIT_MS);
             Thread.sleep(400);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
-            String told = proxy.ledger.seen.get(0).statement().replaceAll(".*,d=(\\d+),.*", "$1");
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            String told = proxy.attemptLog.attempts.get(0).statement().replaceAll(".*,d=(\\d+),.*", "$1");
             assertTrue(Integer.parseInt(told) <= WAIT_MS - 400, told);
         }
     }
@@ -197,21 +201,21 @@
     public void nothingIsWrittenForAClientThatClosedWhileTheReaderWasHeldUp() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            other.write("1", WAIT_MS);
-            assertEquals(other.answer(), "Served primary:1");
+            other.sendWrite("1", WAIT_MS);
+            assertEquals(other.readAnswer(), "Served primary:1");
             Thread.sleep(100);
             PausableProxyFixture.Client leaver = proxy.new Client();
-            PausableProxyFixture.Hold hold = proxy.hold();
-            leaver.write("2", WAIT_MS);
-            other.send(LineProtocolCodec.HOLD_READER);
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            leaver.sendWrite("2", WAIT_MS);
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
             leaver.close();
             Thread.sleep(100);
-            hold.release();
+            pause.resume();
             proxy.onLoop(() -> {});
-            proxy.wire.readerReleased.countDown();
-            other.write("3", WAIT_MS);
-            assertEquals(other.answer(), "Served primary:3");
-            assertEquals(proxy.ledger.sent("2"), 0, proxy.ledger.seen.toString());
+            proxy.wire.selectorReleased.countDown();
+            other.sendWrite("3", WAIT_MS);
+            assertEquals(other.readAnswer(), "Served primary:3");
+            assertEquals(proxy.attemptLog.countAttempts("2"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
@@ -221,13 +225,14 @@
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            other.send(LineProtocolCodec.HOLD_READER);
-            proxy.onLoop(() -> proxy.front.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
-            client.begin("/* id=1,c=write,d=5000,k=k1,cluster=0 */ INSERT\n");
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
+            proxy.onLoop(
+                    () -> proxy.clientListener.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            client.sendPart("/* id=1,c=write,d=5000,k=k1,cluster=0 */ INSERT\n");
             Thread.sleep(100);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(client.answer());
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(client.readAnswer());
         }
     }
 
@@ -237,13 +242,13 @@
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            client.begin("/* id=1,c=write,d=5000,k=k1,clus");
-            proxy.awaitReader();
-            other.send(LineProtocolCodec.HOLD_READER);
-            client.begin("ter=0 */ INSERT\n");
+            client.sendPart("/* id=1,c=write,d=5000,k=k1,clus");
+            proxy.awaitSelectorThread();
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
+            client.sendPart("ter=0 */ INSERT\n");
             Thread.sleep(2_500);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
         }
     }
 
@@ -253,23 +258,23 @@
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            proxy.database.word = "HALVES";
-            client.write("1", WAIT_MS);
-            while (proxy.ledger.sent("1") == 0) {
+            proxy.database.replyKind = "SPLIT";
+            client.sendWrite("1", WAIT_MS);
+            while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
-            PausableProxyFixture.Hold hold = proxy.hold();
-            proxy.database.halves.release();
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            proxy.database.splitPermits.release();
             Thread.sleep(50);
-            proxy.awaitReader();
-            other.send(LineProtocolCodec.HOLD_READER);
-            proxy.database.halves.release();
+            proxy.awaitSelectorThread();
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
+            proxy.database.splitPermits.release();
             Thread.sleep(400);
-            hold.release();
+            pause.resume();
             Thread.sleep(200);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
-            assertEquals(proxy.ledger.sent("1"), 1, proxy.ledger.seen.toString());
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 1, proxy.attemptLog.attempts.toString());
         }
     }
 
@@ -280,31 +285,31 @@
         try (PausableProxyFixture proxy = new PausableProxyFixture(10, timeoutMs * PausableProxyFixture.MS);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            proxy.database.greeting = new CountDownLatch(1);
-            PausableProxyFixture.Hold hold = greetedWhileHeldUp(proxy, client, other);
+            proxy.database.greetingLatch = new CountDownLatch(1);
+            PausableProxyFixture.LoopPause pause = greetedWhileHeldUp(proxy, client, other);
             Thread.sleep(2 * timeoutMs);
-            hold.release();
+            pause.resume();
             Thread.sleep(100);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
-            assertEquals(proxy.database.opened.get(), 1);
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertEquals(proxy.database.openedConnections.get(), 1);
         }
     }
 
     /** A write of id 1 waits for its connection, whose greeting is before the held reader when this returns. */
-    private static PausableProxyFixture.Hold greetedWhileHeldUp(
+    private static PausableProxyFixture.LoopPause greetedWhileHeldUp(
             PausableProxyFixture proxy, PausableProxyFixture.Client client, PausableProxyFixture.Client other)
             throws Exception {
-        client.write("1", WAIT_MS);
-        while (proxy.database.opened.get() == 0) {
+        client.sendWrite("1", WAIT_MS);
+        while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
-        proxy.awaitReader();
+        proxy.awaitSelectorThread();
         proxy.onLoop(() -> {});
-        PausableProxyFixture.Hold hold = proxy.hold();
-        other.send(LineProtocolCodec.HOLD_READER);
-        proxy.database.greeting.countDown();
-        return hold;
+        PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+        other.send(LineProtocolCodec.BLOCK_SELECTOR);
+        proxy.database.greetingLatch.countDown();
+        return pause;
     }
 
     /** However many commands a client sends behind one that waits: each has its answer, in its turn. */
@@ -313,21 +318,21 @@
         int more = 200_000;
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            proxy.database.word = "SILENT";
-            client.write("1", 2_000);
-            client.begin("\n".repeat(more));
-            assertEquals(client.answer(), "Failed");
+            proxy.database.replyKind = "NO_REPLY";
+            client.sendWrite("1", 2_000);
+            client.sendPart("\n".repeat(more));
+            assertEquals(client.readAnswer(), "Failed");
             int nothing = 0;
             int refused = 0;
             for (int i = 0; i < more; i++) {
-                String answer = client.answer();
+                String answer = client.readAnswer();
                 assertTrue(answer.equals("EmptyQueryResponse") || answer.equals("Rejected"), i + ": " + answer);
                 nothing += answer.equals("EmptyQueryResponse") ? 1 : 0;
                 refused += answer.equals("Rejected") ? 1 : 0;
             }
             assertEquals(nothing + refused, more);
             assertTrue(nothing >= 1_023, nothing + " of those behind the first are within the limit");
-            assertTrue(proxy.front.counters().contains(" open_bytes=0"), proxy.front.counters());
+            assertTrue(proxy.clientListener.counters().contains(" open_bytes=0"), proxy.clientListener.counters());
         }
     }
 
@@ -335,17 +340,17 @@
     @Test(timeOut = TEST_TIMEOUT_MS)
     public void closeBehindCommandsBeyondTheLimitIsSeen() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
-            proxy.database.word = "SILENT";
+            proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
-            client.write("1", WAIT_MS);
-            client.begin("\n".repeat(200_000));
+            client.sendWrite("1", WAIT_MS);
+            client.sendPart("\n".repeat(200_000));
             client.close();
             long from = System.nanoTime();
-            while (proxy.owed() > 0) {
+            while (proxy.outstandingRequests() > 0) {
                 Thread.sleep(1);
             }
             assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(WAIT_MS / 2));
-            assertTrue(proxy.front.counters().contains(" open_bytes=0"), proxy.front.counters());
+            assertTrue(proxy.clientListener.counters().contains(" open_bytes=0"), proxy.clientListener.counters());
         }
     }
 
@@ -353,16 +358,16 @@
     @Test(timeOut = TEST_TIMEOUT_MS)
     public void closeBehindManyUnansweredCommandsIsSeen() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
-            proxy.database.word = "SILENT";
+            proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
             for (int i = 1; i <= 200; i++) {
-                client.write(Integer.toString(i), WAIT_MS);
+                client.sendWrite(Integer.toString(i), WAIT_MS);
             }
-            proxy.awaitReader();
-            assertEquals(proxy.owed(), 200);
+            proxy.awaitSelectorThread();
+            assertEquals(proxy.outstandingRequests(), 200);
             client.close();
-            proxy.awaitReader();
-            assertEquals(proxy.owed(), 0);
+            proxy.awaitSelectorThread();
+            assertEquals(proxy.outstandingRequests(), 0);
         }
     }
 }
--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -31,22 +31,22 @@
             socket = connect();
             wire.login(socket, team);
             in = new DataInputStream(socket.getInputStream());
-            if (!ask("").kind().equals("EMPTY")) {
+            if (!execute("").kind().equals("EMPTY")) {
                 throw new IOException("the empty query is not answered");
             }
         }
 
         void send(String statement) throws IOException {
-            wire.ask(socket, statement);
+            wire.send(socket, statement);
         }
 
-        TestWireClient.Answer answer() throws IOException {
-            return wire.answer(in);
+        TestWireClient.Answer readAnswer() throws IOException {
+            return wire.readAnswer(in);
         }
 
-        TestWireClient.Answer ask(String statement) throws IOException {
+        TestWireClient.Answer execute(String statement) throws IOException {
             send(statement);
-            return answer();
+            return readAnswer();
         }
 
         @Override
@@ -56,9 +56,9 @@
     }
 
     final TestWireClient wire;
-    private final String part;
-    private final String instead;
-    final ScriptedDatabase.Ledger ledger = new ScriptedDatabase.Ledger();
+    private final String originalText;
+    private final String replacementText;
+    final ScriptedDatabase.AttemptLog attemptLog = new ScriptedDatabase.AttemptLog();
     final List<ScriptedDatabase> databases = new ArrayList<>();
     final List<String> log = new CopyOnWriteArrayList<>();
     final Process process;
@@ -73,34 +73,36 @@
     private final int port;
     private int version = 1;
     /** Watches that are open now are never answered. */
-    private int silentBefore;
+    private int unansweredCalls;
 
-    private int calls;
+    private int watchCalls;
     /** Bytes that the system keeps for a client which does not read; as it likes where 0. */
-    volatile int receiveBuffer;
+    volatile int receiveBufferBytes;
     /** Databases of other groups that the list names besides. */
-    volatile int others;
+    volatile int otherGroupEndpoints;
     /** An entry that can't be read stands before the rest, and where those that drain are can't be read. */
-    volatile boolean spoilt;
+    volatile boolean hasMalformedEntries;
     /** How long a call waits its turn; until when the last one is held. */
-    private int turnMs;
+    private int callDelayMs;
 
-    private long heldUntil;
+    private long watchHoldEndsAt;
 
     Deployment(TestWireClient wire) throws IOException, InterruptedException {
         this(wire, "", "");
     }
 
-    /** Of the operator's file and of the settings in it, one part reads otherwise. */
-    Deployment(TestWireClient wire, String part, String instead) throws IOException, InterruptedException {
+    /** Replaces {@code originalText} in the operator's file and in the settings that are taken from it. */
+    Deployment(TestWireClient wire, String originalText, String replacementText)
+            throws IOException, InterruptedException {
         this.wire = wire;
-        this.part = part;
-        this.instead = instead;
+        this.originalText = originalText;
+        this.replacementText = replacementText;
         for (String name : List.of("s-a", "s-b", "s-c")) {
-            databases.add(new ScriptedDatabase(name, name.equals("s-a") ? "read-write" : "read-only", wire, ledger));
+            databases.add(
+                    new ScriptedDatabase(name, name.equals("s-a") ? "read-write" : "read-only", wire, attemptLog));
             states.put(name, "up");
         }
-        discovery = new ScriptedDiscovery(this::list);
+        discovery = new ScriptedDiscovery(this::answerWatch);
         writeZone();
         boolean pg = wire instanceof PgTestClient;
         Files.writeString(config, pg ? platformConfig() : operatorFile());
@@ -118,12 +120,12 @@
 
     /** Discovery is at another place from now on, as the new configuration says; the old one. */
     ScriptedDiscovery moveDiscovery() throws IOException, InterruptedException {
-        return moveDiscovery(this::list);
+        return moveDiscovery(this::answerWatch);
     }
 
-    ScriptedDiscovery moveDiscovery(ScriptedDiscovery.Lists lists) throws IOException, InterruptedException {
+    ScriptedDiscovery moveDiscovery(ScriptedDiscovery.ListSource listSource) throws IOException, InterruptedException {
         ScriptedDiscovery old = discovery;
-        discovery = new ScriptedDiscovery(lists);
+        discovery = new ScriptedDiscovery(listSource);
         zoneFile = "moved.zone";
         writeZone();
         reload(wire instanceof PgTestClient ? platformConfig() : operatorFile());
@@ -151,12 +153,12 @@
     }
 
     private int awaitPort() throws IOException, InterruptedException {
-        reader = read(process, log);
-        return portOf(log, 0);
+        reader = collectLog(process, log);
+        return awaitListenPort(log, 0);
     }
 
     /** Fills a log that is safe to read meanwhile; ends when the program has. */
-    static Thread read(Process process, List<String> log) {
+    static Thread collectLog(Process process, List<String> log) {
         Thread reader = new Thread(
                 () -> new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))
                         .lines()
@@ -167,12 +169,12 @@
     }
 
     /** The port of the program's front, of several the one that comes up at that place. */
-    static int portOf(List<String> log, int place) throws IOException, InterruptedException {
+    static int awaitListenPort(List<String> log, int index) throws IOException, InterruptedException {
         for (int i = 0; i < 1_500; i++) {
             List<String> fronts =
                     log.stream().filter(line -> line.contains("listening on")).toList();
-            if (fronts.size() > place) {
-                return Integer.parseInt(fronts.get(place).replaceAll(".*:", ""));
+            if (fronts.size() > index) {
+                return Integer.parseInt(fronts.get(index).replaceAll(".*:", ""));
             }
             Thread.sleep(20);
         }
@@ -190,18 +192,18 @@
         return Files.readString(OPERATOR_FILE)
                 .replace("127.0.0.1:1433", "127.0.0.1:0")
                 .replace("stations.zone", zoneFile)
-                .replace(part, instead);
+                .replace(originalText, replacementText);
     }
 
-    private String list(String query) throws InterruptedException {
+    private String answerWatch(String query) throws InterruptedException {
         int from = query == null ? 0 : Integer.parseInt(query.replaceAll("from=(\\d+).*", "$1"));
         int hold = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
         synchronized (states) {
-            int call = calls++;
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(turnMs + hold);
-            heldUntil = until;
-            pause(turnMs);
-            while (from >= version && System.nanoTime() < until || call < silentBefore) {
+            int call = watchCalls++;
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMs + hold);
+            watchHoldEndsAt = until;
+            pause(callDelayMs);
+            while (from >= version && System.nanoTime() < until || call < unansweredCalls) {
                 pause(50);
             }
             return json(from);
@@ -218,26 +220,27 @@
      * The open watch falls silent, and another then waits its turn for so long. Returns when what it misses
      * counts as told, by {@link System#nanoTime}: 6 s from now, or 2 s after its hold.
      */
-    long silence(int turn) throws InterruptedException {
+    long silenceWatch(int nextCallDelayMs) throws InterruptedException {
         synchronized (states) {
-            while (heldUntil < System.nanoTime()) {
+            while (watchHoldEndsAt < System.nanoTime()) {
                 pause(50);
             }
-            silentBefore = calls;
-            turnMs = turn;
-            return Math.max(System.nanoTime() + TimeUnit.SECONDS.toNanos(6), heldUntil + TimeUnit.SECONDS.toNanos(2));
+            unansweredCalls = watchCalls;
+            callDelayMs = nextCallDelayMs;
+            return Math.max(
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchHoldEndsAt + TimeUnit.SECONDS.toNanos(2));
         }
     }
 
     private String json(int from) {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < others; i++) {
+        for (int i = 0; i < otherGroupEndpoints; i++) {
             entries.add("{\n  \"id\": \"s-" + (10_000 + i) + "\",\n  \"addr\": \"127.0.0.1:1\",\n"
                     + "  \"zone\": \"ulemiste\",\n  \"cell\": " + (1 + i / 5)
                     + ",\n  \"state\": \"up\",\n  \"started_ms\": 0\n}");
         }
         for (ScriptedDatabase d : databases) {
-            entries.add((spoilt && d.name.equals("s-a") ? "{\"id\":\"s-x\",\"state\":\"odd\"}," : "")
+            entries.add((hasMalformedEntries && d.name.equals("s-a") ? "{\"id\":\"s-x\",\"state\":\"odd\"}," : "")
                     + "{\"id\":\"" + d.name + "\",\"addr\":\"127.0.0.1"
                     + (isUnreadable(d) ? "" : ":" + d.listener.getLocalPort())
                     + "\",\"zone\":\"ulemiste\",\"cell\":0,\"state\":\"" + states.get(d.name)
@@ -248,13 +251,13 @@
     }
 
     private boolean isUnreadable(ScriptedDatabase d) {
-        return spoilt && states.get(d.name).equals("draining");
+        return hasMalformedEntries && states.get(d.name).equals("draining");
     }
 
     private void writeZone() throws IOException {
         StringBuilder zone = new StringBuilder("$TTL 5\ndb.stations.example. IN A 127.0.0.1\n");
         for (ScriptedDatabase d : databases) {
-            zone.append(spoilt ? "@ IN PTR nowhere._tds._tcp.stations.example.\n" : "")
+            zone.append(hasMalformedEntries ? "@ IN PTR nowhere._tds._tcp.stations.example.\n" : "")
                     .append("@ IN PTR ")
                     .append(d.name)
                     .append("._tds._tcp.stations.example.\n");
@@ -277,19 +280,19 @@
     }
 
     /** Changes the list, and gives the program time to hear of it. */
-    void list(ScriptedDatabase database, String state) throws IOException, InterruptedException {
-        list(Map.of(database.name, state));
+    void publishState(ScriptedDatabase database, String state) throws IOException, InterruptedException {
+        publishStates(Map.of(database.name, state));
     }
 
     /** Only this database drains; the change is told at once, as above. */
-    void onlyDrains(ScriptedDatabase database) throws IOException, InterruptedException {
+    void drainOnly(ScriptedDatabase database) throws IOException, InterruptedException {
         Map<String, String> all = new LinkedHashMap<>();
         databases.forEach(d -> all.put(d.name, d == database ? "draining" : "up"));
-        list(all);
+        publishStates(all);
     }
 
     /** As above, several at once. */
-    void list(Map<String, String> changed) throws IOException, InterruptedException {
+    void publishStates(Map<String, String> changed) throws IOException, InterruptedException {
         synchronized (states) {
             states.putAll(changed);
             version++;
@@ -301,8 +304,8 @@
 
     Socket connect() throws IOException {
         Socket socket = new Socket();
-        if (receiveBuffer > 0) {
-            socket.setReceiveBufferSize(receiveBuffer);
+        if (receiveBufferBytes > 0) {
+            socket.setReceiveBufferSize(receiveBufferBytes);
         }
         socket.connect(new InetSocketAddress("127.0.0.1", port));
         socket.setTcpNoDelay(true);
@@ -323,12 +326,12 @@
     }
 
     /** Lines of the log at level ERROR; a request's outcome in a line of another level has that name too. */
-    List<String> errors() {
+    List<String> errorLines() {
         return log.stream().filter(line -> line.matches("\\[[^]]*\\] ERROR .*")).toList();
     }
 
     /** Tells the program to end and waits for that; what it counted, as it says last. */
-    String end() throws IOException, InterruptedException {
+    String terminate() throws IOException, InterruptedException {
         process.toHandle().destroy();
         if (!process.waitFor(10, TimeUnit.SECONDS)) {
             throw new IOException("does not end");
--- a/src/test/java/crankwick/app/DrainsIT.java
+++ b/src/test/java/crankwick/app/DrainsIT.java
@@ -10,21 +10,21 @@
 import org.testng.annotations.Test;
 
 /** What the list of databases says is honoured, whatever becomes of it on its way, on both wires. */
-public class DrainsIT extends OnBothWires {
+public class DrainsIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
     public void drainingReplicaGetsNothingNew(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             ScriptedDatabase draining = d.replicas().get(0);
-            client.ask(statement("map-view", 1000, ""));
-            d.list(draining, "draining");
+            client.execute(statement("map-view", 1000, ""));
+            d.publishState(draining, "draining");
             Thread.sleep(1_000);
-            int before = d.ledger.at(draining.name).size();
+            int before = d.attemptLog.attemptsAt(draining.name).size();
             for (int i = 0; i < 20; i++) {
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
-            assertEquals(d.ledger.at(draining.name).size(), before);
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(draining.name).size(), before);
+            assertNoViolations(d);
         }
     }
 
@@ -34,13 +34,13 @@
         try (Deployment d = new Deployment(wire, "\"ask\"", "\"push\"");
                 Deployment.Client client = d.client()) {
             ScriptedDatabase draining = lastServing(d, client);
-            d.spoilt = true;
-            d.list(draining, "draining");
+            d.hasMalformedEntries = true;
+            d.publishState(draining, "draining");
             for (int i = 0; i < 20; i++) {
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
-            assertEquals(d.ledger.at(draining.name).size(), 1);
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(draining.name).size(), 1);
+            assertNoViolations(d);
         }
     }
 
@@ -50,24 +50,24 @@
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0");
                 Deployment.Client client = d.client()) {
             ScriptedDatabase old = d.primary();
-            old.greetMs = 3_000;
+            old.greetingDelayMs = 3_000;
             client.send(statement("reserve", 9_000, ""));
-            while (old.opened.get() == 0) {
+            while (old.openedConnections.get() == 0) {
                 Thread.sleep(5);
             }
             old.mode = "read-only";
             d.replicas().get(0).mode = "read-write";
-            d.list(old, "draining");
-            served(client.answer(), "s-b");
+            d.publishState(old, "draining");
+            assertServedBy(client.readAnswer(), "s-b");
             Thread.sleep(2_500);
-            assertEquals(d.ledger.at(old.name), List.of());
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(old.name), List.of());
+            assertNoViolations(d);
         }
     }
 
     /** The replica that reads go to: what they would do if they did not hear that it drains. */
     private ScriptedDatabase lastServing(Deployment d, Deployment.Client client) throws IOException {
-        TestWireClient.Answer answer = client.ask(statement("map-view", 1000, ""));
+        TestWireClient.Answer answer = client.execute(statement("map-view", 1000, ""));
         return d.replicas().stream()
                 .filter(r -> answer.value().startsWith(r.name))
                 .findAny()
@@ -82,19 +82,20 @@
     public void drainMissedByASilentWatchIsHonouredInTime() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            long latest = d.silence(2_000) + TimeUnit.MILLISECONDS.toNanos(2_000 + 50);
+            long latest = d.silenceWatch(2_000) + TimeUnit.MILLISECONDS.toNanos(2_000 + 50);
             for (ScriptedDatabase replica : d.replicas()) {
-                d.list(replica, "draining");
+                d.publishState(replica, "draining");
             }
             while (System.nanoTime() < latest + TimeUnit.SECONDS.toNanos(1)) {
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
                 Thread.sleep(20);
             }
-            List<ScriptedDatabase.Seen> after =
-                    d.ledger.seen.stream().filter(seen -> seen.at() > latest).toList();
+            List<ScriptedDatabase.Attempt> after = d.attemptLog.attempts.stream()
+                    .filter(seen -> seen.receivedAt() > latest)
+                    .toList();
             assertTrue(
                     !after.isEmpty() && after.stream().allMatch(s -> s.server().equals("s-a")), after.toString());
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -104,17 +105,17 @@
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.reload("{ \"discovery\": ");
-            served(client.ask(statement("reserve", 3000, "")), "s-a");
+            assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
             d.moveDiscovery().close();
-            d.list(d.replicas().get(0), "draining");
+            d.publishState(d.replicas().get(0), "draining");
             for (int i = 0; i < 20; i++) {
-                served(client.ask(statement("map-view", 1000, "")), "s-c");
+                assertServedBy(client.execute(statement("map-view", 1000, "")), "s-c");
             }
             d.moveDiscovery().close();
-            d.list(d.replicas().get(0), "up");
-            d.list(d.replicas().get(1), "draining");
-            served(client.ask(statement("map-view", 1000, "")), "s-b");
-            kept(d);
+            d.publishState(d.replicas().get(0), "up");
+            d.publishState(d.replicas().get(1), "draining");
+            assertServedBy(client.execute(statement("map-view", 1000, "")), "s-b");
+            assertNoViolations(d);
         }
     }
 
@@ -128,23 +129,23 @@
                 Deployment.Client first = d.client();
                 Deployment.Client later = d.client()) {
             ScriptedDatabase old = d.primary();
-            assertEquals(first.ask(statement("reserve", 3000, "")).value(), "s-a:" + id());
+            assertEquals(first.execute(statement("reserve", 3000, "")).value(), "s-a:" + lastId());
             old.delayMs = 2_000;
             first.send(statement("reserve", 10_000, ""));
-            String inFlight = id();
+            String inFlight = lastId();
             Thread.sleep(300);
             old.mode = "read-only";
             d.databases.get(1).mode = "read-write";
-            d.list(old, "draining");
-            assertEquals(d.ledger.sent(inFlight), 1);
-            assertEquals(first.answer().value(), "s-a:" + inFlight);
-            int before = d.ledger.at(old.name).size();
+            d.publishState(old, "draining");
+            assertEquals(d.attemptLog.countAttempts(inFlight), 1);
+            assertEquals(first.readAnswer().value(), "s-a:" + inFlight);
+            int before = d.attemptLog.attemptsAt(old.name).size();
             for (int i = 0; i < 5; i++) {
-                assertEquals(later.ask(statement("reserve", 3000, "")).value(), "s-b:" + id());
+                assertEquals(later.execute(statement("reserve", 3000, "")).value(), "s-b:" + lastId());
             }
-            assertEquals(d.ledger.at(old.name).size(), before);
-            assertEquals(d.ledger.sent(inFlight), 1);
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(old.name).size(), before);
+            assertEquals(d.attemptLog.countAttempts(inFlight), 1);
+            assertNoViolations(d);
         }
     }
 
@@ -153,18 +154,18 @@
     public void answerOnItsWayWhenTheWatchMovesIsHeard() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            d.discovery.pauseMs = 3_000;
-            d.list(Map.of("s-b", "draining", "s-c", "draining"));
+            d.discovery.midResponsePauseMs = 3_000;
+            d.publishStates(Map.of("s-b", "draining", "s-c", "draining"));
             ScriptedDiscovery old = d.moveDiscovery(query -> {
                 Thread.sleep(60_000);
                 return "";
             });
             Thread.sleep(2_000);
             for (int i = 0; i < 20; i++) {
-                served(client.ask(statement("map-view", 1000, "")), "s-a");
+                assertServedBy(client.execute(statement("map-view", 1000, "")), "s-a");
             }
             old.close();
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -174,28 +175,28 @@
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             ScriptedDatabase before = d.primary();
-            for (ScriptedDiscovery.Form form : ScriptedDiscovery.Form.values()) {
+            for (ScriptedDiscovery.ResponseForm form : ScriptedDiscovery.ResponseForm.values()) {
                 ScriptedDatabase draining = d.replicas().get(form.ordinal() % 2);
-                d.discovery.form = form;
-                d.onlyDrains(draining);
-                if (!form.isWhole()) {
+                d.discovery.responseForm = form;
+                d.drainOnly(draining);
+                if (!form.isComplete()) {
                     assertNoneAt(before, d, client, form);
-                    d.discovery.form = ScriptedDiscovery.Form.WITH_LENGTH;
+                    d.discovery.responseForm = ScriptedDiscovery.ResponseForm.CONTENT_LENGTH;
                     Thread.sleep(1_000);
                 }
                 assertNoneAt(draining, d, client, form);
                 before = draining;
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
     private void assertNoneAt(ScriptedDatabase draining, Deployment d, Deployment.Client client, Object when)
             throws IOException {
-        int before = d.ledger.at(draining.name).size();
+        int before = d.attemptLog.attemptsAt(draining.name).size();
         for (int i = 0; i < 20; i++) {
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED", when + " " + d.log);
+            assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED", when + " " + d.log);
         }
-        assertEquals(d.ledger.at(draining.name).size(), before, when + " " + d.log);
+        assertEquals(d.attemptLog.attemptsAt(draining.name).size(), before, when + " " + d.log);
     }
 }
--- a/src/test/java/crankwick/app/FailoverIT.java
+++ b/src/test/java/crankwick/app/FailoverIT.java
@@ -77,9 +77,9 @@
                 new DatabaseEmulator(codec, GROUPS, 17, new EmulatedEndpointList("ulemiste", zone))) {
             List<String> log = new CopyOnWriteArrayList<>();
             Process proxy = start(wire, emulation, zone);
-            Thread reader = Deployment.read(proxy, log);
+            Thread reader = Deployment.collectLog(proxy, log);
             try {
-                int port = Deployment.portOf(log, 0);
+                int port = Deployment.awaitListenPort(log, 0);
                 emulation.scheduleFaults(CHANGES, SECONDS * 1_000_000L / (CHANGES + 1));
                 List<Done> done = load(wire, port);
                 judge(done, emulation.executionLog());
@@ -101,11 +101,11 @@
                 new DatabaseEmulator(codec, 1, DEATH_SEED, new EmulatedEndpointList("ulemiste", zone))) {
             List<String> log = new CopyOnWriteArrayList<>();
             Process proxy = start(wire, emulation, zone);
-            Deployment.read(proxy, log);
+            Deployment.collectLog(proxy, log);
             ConcurrentLinkedQueue<Done> done = new ConcurrentLinkedQueue<>();
             List<Thread> clients = new ArrayList<>();
             try {
-                int port = Deployment.portOf(log, 0);
+                int port = Deployment.awaitListenPort(log, 0);
                 List<Socket> sockets = new ArrayList<>();
                 for (int i = 0; i < HELD; i++) {
                     sockets.add(connect(wire, port));
@@ -236,8 +236,8 @@
                 : "/* id=" + n + ",c=map-view,d=1000,cluster=" + n % GROUPS
                         + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
         long askedAt = micros();
-        wire.ask(socket, statement);
-        TestWireClient.Answer answer = wire.answer(new DataInputStream(socket.getInputStream()));
+        wire.send(socket, statement);
+        TestWireClient.Answer answer = wire.readAnswer(new DataInputStream(socket.getInputStream()));
         if (answer.kind().equals("CLOSED")) {
             socket.close();
         }
--- a/src/test/java/crankwick/app/FaultSoak.java
+++ b/src/test/java/crankwick/app/FaultSoak.java
@@ -22,7 +22,9 @@
     private static final int KILL_AFTER_MS = 3_700;
 
     private static final int MAX_STOP_MS = 150;
-    private static final String[] WORDS = {"VALUE", "VALUE", "VALUE", "BREAK", "SPOILT", "SILENT", "ERROR", "FULL"};
+    private static final String[] WORDS = {
+        "VALUE", "VALUE", "VALUE", "DISCONNECT", "MALFORMED", "NO_REPLY", "ERROR", "OVERLOADED"
+    };
 
     private final long seed;
     private final Random random;
@@ -60,9 +62,10 @@
             for (Socket socket : crowd) {
                 socket.close();
             }
-            List<SoakRecord.Break> breaks = record.judge(d.ledger.seen, killedAt);
+            List<SoakRecord.Break> breaks = record.judge(d.attemptLog.attempts, killedAt);
             breaks.forEach(broken -> printTimeLine(d, broken));
-            return new Outcome(record.requests.size(), d.ledger.seen.size(), worstLateMs(d), breaks, d.errors());
+            return new Outcome(
+                    record.requests.size(), d.attemptLog.attempts.size(), worstLateMs(d), breaks, d.errorLines());
         }
     }
 
@@ -79,9 +82,9 @@
     private void printTimeLine(Deployment d, SoakRecord.Break broken) {
         System.out.println("seed " + seed + ": " + broken);
         long asked = record.requests.get(broken.id()).askedAt;
-        for (ScriptedDatabase.Seen seen : d.ledger.seen) {
+        for (ScriptedDatabase.Attempt seen : d.attemptLog.attempts) {
             if (seen.id().equals(broken.id())) {
-                long millis = TimeUnit.NANOSECONDS.toMillis(seen.at() - asked);
+                long millis = TimeUnit.NANOSECONDS.toMillis(seen.receivedAt() - asked);
                 System.out.println("    " + seen.server() + " +" + millis + " ms");
             }
         }
@@ -95,10 +98,10 @@
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRAFFIC_MS);
         while (System.nanoTime() < until) {
             ScriptedDatabase database = d.databases.get(random.nextInt(d.databases.size()));
-            database.word = WORDS[random.nextInt(WORDS.length)];
+            database.replyKind = WORDS[random.nextInt(WORDS.length)];
             database.delayMs = random.nextInt(400);
-            database.greetMs = random.nextInt(4) == 0 ? random.nextInt(700) : 0;
-            database.resets = random.nextInt(4) == 0;
+            database.greetingDelayMs = random.nextInt(4) == 0 ? random.nextInt(700) : 0;
+            database.resetsConnections = random.nextInt(4) == 0;
             if (random.nextInt(3) == 0) {
                 stopFor(d, 20 + random.nextInt(MAX_STOP_MS - 20));
             }
--- a/src/test/java/crankwick/app/LineProtocolCodec.java
+++ b/src/test/java/crankwick/app/LineProtocolCodec.java
@@ -13,19 +13,19 @@
 /** A client's wire of one line a command, which tells a test what the thread that reads has seen by now. */
 final class LineProtocolCodec extends CodecFilter {
     static final String CANCEL = "cancel";
-    /** Holds up the thread that reads, until {@link #readerReleased} is open. */
-    static final String HOLD_READER = "hold";
+    /** Holds up the thread that reads, until {@link #selectorReleased} is open. */
+    static final String BLOCK_SELECTOR = "hold";
 
-    final CountDownLatch readerReleased = new CountDownLatch(1);
+    final CountDownLatch selectorReleased = new CountDownLatch(1);
 
     /** One permit for each connection that has been accepted, and for each command that has been read. */
-    final Semaphore accepted = new Semaphore(0);
+    final Semaphore acceptedConnections = new Semaphore(0);
 
-    final Semaphore read = new Semaphore(0);
+    final Semaphore commandsRead = new Semaphore(0);
 
     @Override
     protected Decoder newDecoder() {
-        accepted.release();
+        acceptedConnections.release();
         return new Lines();
     }
 
@@ -46,9 +46,9 @@
                 emit(new ClientMessage.Login(""));
             }
             String line = new String(all, 0, end, StandardCharsets.US_ASCII);
-            if (line.equals(HOLD_READER)) {
-                read.release();
-                holdReader();
+            if (line.equals(BLOCK_SELECTOR)) {
+                commandsRead.release();
+                blockSelector();
                 return true;
             }
             if (line.equals(CANCEL)) {
@@ -56,13 +56,13 @@
             } else {
                 emit(line.isEmpty() ? new ClientMessage.EmptyQuery() : new ClientMessage.Query(line));
             }
-            read.release();
+            commandsRead.release();
             return true;
         }
 
-        private void holdReader() {
+        private void blockSelector() {
             try {
-                readerReleased.await();
+                selectorReleased.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/test/java/crankwick/app/OpenCommandsIT.java
+++ b/src/test/java/crankwick/app/OpenCommandsIT.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** What a client has open: commands and answers beyond the bounds are refused, none is lost, memory suffices. */
-public class OpenCommandsIT extends OnBothWires {
+public class OpenCommandsIT extends BothWiresFixture {
     private static final int VALUE_BYTES = 60_000;
     private static final int READS = 300;
     private static final int READS_AT_ONCE = 15;
@@ -18,26 +18,26 @@
     @Test
     public void readsWhoseAnswersThereIsNoRoomForAreRefused() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient())) {
-            d.receiveBuffer = SMALL_RECEIVE_BUFFER;
+            d.receiveBufferBytes = SMALL_RECEIVE_BUFFER;
             Deployment.Client client = d.client();
-            d.databases.forEach(database -> database.padding = VALUE_BYTES);
+            d.databases.forEach(database -> database.paddingChars = VALUE_BYTES);
             for (int i = 0; i < READS; i++) {
                 client.send(statement("map-view", 10_000, ""));
                 Thread.sleep(i % READS_AT_ONCE == 0 ? 100 : 0);
             }
-            int first = Integer.parseInt(id()) - READS + 1;
+            int first = Integer.parseInt(lastId()) - READS + 1;
             int served = 0;
             for (int i = 0; i < READS; i++) {
-                TestWireClient.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.readAnswer();
                 boolean value = answer.kind().equals("SERVED") && answer.value().endsWith(":" + (first + i));
                 assertTrue(value || answer.kind().equals("REFUSED"), "answer " + i + ": " + answer.kind());
                 served += value ? 1 : 0;
             }
             assertTrue(served > READS / 4 && served < READS, "served " + served);
-            assertEquals(client.ask(statement("map-view", 10_000, "")).kind(), "SERVED");
+            assertEquals(client.execute(statement("map-view", 10_000, "")).kind(), "SERVED");
             client.close();
-            kept(d);
-            assertTrue(d.end().contains("open_bytes=0 answer_bytes=0"), d.log.toString());
+            assertNoViolations(d);
+            assertTrue(d.terminate().contains("open_bytes=0 answer_bytes=0"), d.log.toString());
         }
     }
 
@@ -45,23 +45,23 @@
     @Test
     public void answersBehindOneThatWaitsTakeNoMoreMemoryThanThereIs() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient())) {
-            d.receiveBuffer = SMALL_RECEIVE_BUFFER;
+            d.receiveBufferBytes = SMALL_RECEIVE_BUFFER;
             Deployment.Client client = d.client();
-            d.primary().word = "SILENT";
+            d.primary().replyKind = "NO_REPLY";
             client.send(statement("reserve", 2_000, ""));
-            byte[] empty = d.wire.command("", 0);
+            byte[] empty = d.wire.encodeCommand("", 0);
             String many = new String(empty, StandardCharsets.ISO_8859_1).repeat(EMPTY_QUERIES);
             client.socket.getOutputStream().write(many.getBytes(StandardCharsets.ISO_8859_1));
-            assertEquals(client.answer().kind(), "FAILED");
+            assertEquals(client.readAnswer().kind(), "FAILED");
             Thread.sleep(1_000);
             for (int i = 0; i < EMPTY_QUERIES; i++) {
-                String kind = client.answer().kind();
+                String kind = client.readAnswer().kind();
                 assertTrue(kind.matches("EMPTY|REFUSED"), i + ": " + kind);
             }
             client.close();
-            kept(d);
+            assertNoViolations(d);
             assertTrue(d.log.stream().noneMatch(line -> line.contains("OutOfMemoryError")), d.log.toString());
-            assertTrue(d.end().contains("open_bytes=0 answer_bytes=0"), d.log.toString());
+            assertTrue(d.terminate().contains("open_bytes=0 answer_bytes=0"), d.log.toString());
         }
     }
 }
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -31,8 +31,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A front with one primary behind it, in this process. A test holds the loop while bytes arrive, so that the
- * order in which the loop and the thread that reads come upon them is the test's own.
+ * A proxy in this process with one primary. A test pauses the event loop while bytes arrive, and so determines the
+ * order in which the event loop and the selector thread process them.
  */
 final class PausableProxyFixture implements AutoCloseable {
     static final long MS = 1_000;
@@ -41,15 +41,15 @@
     private static final long IDLE_LIMIT = 60_000 * MS;
     private static final int MAX_LINKS = 100;
 
-    final ScriptedDatabase.Ledger ledger = new ScriptedDatabase.Ledger();
+    final ScriptedDatabase.AttemptLog attemptLog = new ScriptedDatabase.AttemptLog();
     final ScriptedDatabase database;
     final LineProtocolCodec wire = new LineProtocolCodec();
     final Clock clock = new Clock();
     final EventLoop loop = new EventLoop("held");
     final Broker broker;
-    final ClientListener front;
+    final ClientListener clientListener;
     private final Transport transport = new Transport();
-    private final List<Hold> holds = new ArrayList<>();
+    private final List<LoopPause> pauses = new ArrayList<>();
 
     PausableProxyFixture(int maxSessions) throws Exception {
         this(maxSessions, CONNECT_TIMEOUT);
@@ -59,10 +59,10 @@
         RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 6_000 * MS, connectTimeout, true);
         broker = new Broker(settings, 1, Map.of("", Contract.UNLIMITED), null);
         EffectRunner runner = new EffectRunner(broker, loop, clock);
-        front = new ClientListener(
+        clientListener = new ClientListener(
                 runner, loop, clock, wire, new ClientSettings(settings, List.of("write"), ""::equals, maxSessions));
         runner.attachExecutors(
-                front,
+                clientListener,
                 new DatabasePool(
                         runner,
                         loop,
@@ -70,19 +70,19 @@
                         transport,
                         new PgDatabaseCodec(),
                         new PoolSettings(connectTimeout, IDLE_LIMIT, MAX_LINKS)));
-        database = new ScriptedDatabase("primary", "read-write", new PgTestClient(), ledger);
+        database = new ScriptedDatabase("primary", "read-write", new PgTestClient(), attemptLog);
         var address = new InetSocketAddress("127.0.0.1", database.listener.getLocalPort());
         Endpoint member = new Endpoint("primary", 0, 0, Role.PRIMARY, EndpointStatus.LIVE, 0);
         loop.execute(() -> {
             runner.updateEndpoints(new Discovery.ListUpdate(
                     EndpointUpdateKind.FULL, List.of(new Discovery.DiscoveredEndpoint(member, address))));
-            front.markReady();
+            clientListener.markReady();
         });
-        front.listen(transport, new InetSocketAddress("127.0.0.1", 0));
+        clientListener.listen(transport, new InetSocketAddress("127.0.0.1", 0));
     }
 
     /** The loop stands still from where this is in its queue; what arrives later waits its turn. */
-    static final class Hold {
+    static final class LoopPause {
         private final CountDownLatch holding = new CountDownLatch(1);
         private final CountDownLatch released = new CountDownLatch(1);
 
@@ -99,24 +99,24 @@
             holding.await();
         }
 
-        void release() {
+        void resume() {
             released.countDown();
         }
     }
 
     /** Puts a hold at the end of the loop's queue. */
-    Hold queueHold() {
-        Hold hold = new Hold();
-        holds.add(hold);
-        loop.execute(hold::run);
-        return hold;
+    LoopPause queueLoopPause() {
+        LoopPause pause = new LoopPause();
+        pauses.add(pause);
+        loop.execute(pause::run);
+        return pause;
     }
 
     /** The loop stands still when this returns. */
-    Hold hold() throws InterruptedException {
-        Hold hold = queueHold();
-        hold.await();
-        return hold;
+    LoopPause pauseLoop() throws InterruptedException {
+        LoopPause pause = queueLoopPause();
+        pause.await();
+        return pause;
     }
 
     /** Runs a task on the loop and waits for it. */
@@ -130,7 +130,7 @@
     }
 
     /** Requests that are still owed an answer. */
-    long owed() throws InterruptedException {
+    long outstandingRequests() throws InterruptedException {
         AtomicLong owed = new AtomicLong();
         onLoop(() -> owed.set(broker.outstandingRequests()));
         return owed.get();
@@ -140,12 +140,12 @@
      * What had arrived before has been read when this returns. Of what arrives together any may be read
      * first, so the second connection is the one that surely comes behind.
      */
-    void awaitReader() throws IOException, InterruptedException {
-        wire.accepted.drainPermits();
+    void awaitSelectorThread() throws IOException, InterruptedException {
+        wire.acceptedConnections.drainPermits();
         for (int i = 0; i < 2; i++) {
             try (Socket socket = new Socket()) {
-                socket.connect(front.address());
-                wire.accepted.acquire();
+                socket.connect(clientListener.address());
+                wire.acceptedConnections.acquire();
             }
         }
     }
@@ -156,12 +156,12 @@
         private final BufferedReader in;
 
         Client() throws IOException, InterruptedException {
-            socket.connect(front.address());
+            socket.connect(clientListener.address());
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(20_000);
             in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             send("");
-            List<String> answers = new ArrayList<>(List.of(answer(), answer()));
+            List<String> answers = new ArrayList<>(List.of(readAnswer(), readAnswer()));
             if (!answers.equals(List.of("LoginAccepted", "EmptyQueryResponse"))) {
                 throw new IOException(answers.toString());
             }
@@ -170,22 +170,22 @@
 
         /** Sends a command; with the loop held, the reader has it when this returns. */
         void send(String line) throws IOException, InterruptedException {
-            wire.read.drainPermits();
+            wire.commandsRead.drainPermits();
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            wire.read.acquire();
+            wire.commandsRead.acquire();
         }
 
         /** Sends a part of a command. */
-        void begin(String part) throws IOException {
+        void sendPart(String part) throws IOException {
             socket.getOutputStream().write(part.getBytes(StandardCharsets.US_ASCII));
         }
 
-        void write(String id, int waitMs) throws IOException, InterruptedException {
-            send("/* id=" + id + ",c=write,d=" + waitMs + ",k=k" + id + ",cluster=0 */ INSERT");
+        void sendWrite(String id, int deadlineMs) throws IOException, InterruptedException {
+            send("/* id=" + id + ",c=write,d=" + deadlineMs + ",k=k" + id + ",cluster=0 */ INSERT");
         }
 
         /** The next answer; null where the proxy has ended the connection. */
-        String answer() throws IOException {
+        String readAnswer() throws IOException {
             return in.readLine();
         }
 
@@ -197,7 +197,7 @@
 
     @Override
     public void close() throws IOException {
-        holds.forEach(Hold::release);
+        pauses.forEach(LoopPause::resume);
         loop.close();
         transport.close();
         database.close();
--- a/src/test/java/crankwick/app/PgTestClient.java
+++ b/src/test/java/crankwick/app/PgTestClient.java
@@ -13,7 +13,7 @@
 
 /** PostgreSQL's protocol, written for the tests alone so that it does not share the program's mistakes. */
 final class PgTestClient implements TestWireClient {
-    private static final Map<String, String> CODES = Map.of("MISS", "72000", "FULL", "53300", "ERROR", "XX000");
+    private static final Map<String, String> CODES = Map.of("STALE", "72000", "OVERLOADED", "53300", "ERROR", "XX000");
 
     private static byte[] message(char type, String text) {
         byte[] body = text.getBytes(StandardCharsets.ISO_8859_1);
@@ -37,18 +37,18 @@
     }
 
     @Override
-    public void ask(Socket socket, String statement) throws IOException {
-        socket.getOutputStream().write(command(statement, 0));
+    public void send(Socket socket, String statement) throws IOException {
+        socket.getOutputStream().write(encodeCommand(statement, 0));
     }
 
     @Override
-    public byte[] command(String statement, int less) {
+    public byte[] encodeCommand(String statement, int omittedBytes) {
         byte[] whole = message('Q', statement + "\0");
-        return Arrays.copyOf(whole, whole.length - less);
+        return Arrays.copyOf(whole, whole.length - omittedBytes);
     }
 
     @Override
-    public Answer answer(DataInputStream in) throws IOException {
+    public Answer readAnswer(DataInputStream in) throws IOException {
         Answer answer = Answer.CLOSED;
         try {
             while (true) {
@@ -81,14 +81,14 @@
     }
 
     @Override
-    public void greet(Socket socket, DataInputStream in) throws IOException {
+    public void acceptLogin(Socket socket, DataInputStream in) throws IOException {
         in.skipNBytes(in.readInt() - 4);
         socket.getOutputStream().write(message('R', "\0\0\0\0"));
         socket.getOutputStream().write(message('Z', "I"));
     }
 
     @Override
-    public String statement(DataInputStream in) throws IOException {
+    public String readStatement(DataInputStream in) throws IOException {
         int type = in.read();
         if (type != 'Q') {
             return null;
@@ -103,20 +103,20 @@
     }
 
     @Override
-    public byte[] reply(Verdict verdict, boolean probe) {
+    public byte[] encodeReply(DatabaseReply databaseReply, boolean probe) {
         byte[] facts = joined(
-                message('S', "mode\0" + verdict.mode() + "\0"),
-                message('S', "wal_time\0" + verdict.position() + "\0"),
-                message('S', "stats\0" + verdict.report() + "\0"),
+                message('S', "mode\0" + databaseReply.mode() + "\0"),
+                message('S', "wal_time\0" + databaseReply.position() + "\0"),
+                message('S', "stats\0" + databaseReply.report() + "\0"),
                 message('Z', "I"));
-        if (probe || verdict.word().equals("VALUE")) {
+        if (probe || databaseReply.kind().equals("VALUE")) {
             return joined(
                     columns(probe ? "stats" : "val"),
-                    row(probe ? verdict.report() : verdict.value(), 0),
+                    row(probe ? databaseReply.report() : databaseReply.value(), 0),
                     message('C', "SELECT 1\0"),
                     facts);
         }
-        return joined(message('E', "SERROR\0C" + CODES.get(verdict.word()) + "\0Mno\0\0"), facts);
+        return joined(message('E', "SERROR\0C" + CODES.get(databaseReply.kind()) + "\0Mno\0\0"), facts);
     }
 
     private static byte[] joined(byte[]... parts) {
@@ -140,15 +140,15 @@
     }
 
     @Override
-    public byte[][] spoilt(Verdict verdict) {
+    public byte[][] malformedReplies(DatabaseReply databaseReply) {
         byte[] columns = columns("val");
-        byte[] row = row(verdict.value(), 0);
+        byte[] row = row(databaseReply.value(), 0);
         byte[] done = joined(message('C', "SELECT 1\0"), message('Z', "I"));
         byte[] threeGigabytes = {'D', (byte) 0xC0, 0, 0, 0, 0, 1, (byte) 0xBF, (byte) 0xFF, (byte) 0xFF, 0};
         return new byte[][] {
             "\21\3noise \377\377\0".getBytes(StandardCharsets.ISO_8859_1),
-            joined(columns, row(verdict.value(), -1), done),
-            joined(columns, row(verdict.value(), 1), done),
+            joined(columns, row(databaseReply.value(), -1), done),
+            joined(columns, row(databaseReply.value(), 1), done),
             joined(columns, row, row, done),
             joined(columns, done),
             joined(row, done),
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public byte[][] nonsense() {
+    public byte[][] invalidInputs() {
         return new byte[][] {
             "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
             {0, 0, 0, 1},
--- a/src/test/java/crankwick/app/RulesIT.java
+++ b/src/test/java/crankwick/app/RulesIT.java
@@ -9,25 +9,25 @@
 import org.testng.annotations.Test;
 
 /** The rules on sockets before databases of all habits, the same checks on both wires. */
-public class RulesIT extends OnBothWires {
+public class RulesIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
     public void readsGoToReplicasAndWritesToThePrimary(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             for (int i = 0; i < 10; i++) {
-                TestWireClient.Answer read = client.ask(statement("map-view", 1000, ""));
+                TestWireClient.Answer read = client.execute(statement("map-view", 1000, ""));
                 assertEquals(read.kind(), "SERVED", read.toString());
-                assertTrue(read.value().matches("s-[bc]:" + id()), read.value());
-                assertEquals(client.ask(statement("reserve", 3000, "")).value(), "s-a:" + id());
+                assertTrue(read.value().matches("s-[bc]:" + lastId()), read.value());
+                assertEquals(client.execute(statement("reserve", 3000, "")).value(), "s-a:" + lastId());
             }
             // The text passes on unchanged but for the time that the proxy itself will wait.
-            String sent = d.ledger.at("s-a").get(0).statement();
+            String sent = d.attemptLog.attemptsAt("s-a").get(0).statement();
             assertTrue(
                     sent.matches("/\\* id=\\d+,c=reserve,d=[123]\\d\\d\\d,k=5c0f6e1a2b3d\\d+,cluster=0 "
                             + "\\*/ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'"),
                     sent);
-            assertEquals(d.ledger.seen.size(), 20);
-            kept(d);
+            assertEquals(d.attemptLog.attempts.size(), 20);
+            assertNoViolations(d);
         }
     }
 
@@ -42,12 +42,12 @@
                 clients.get(i).send(statement("map-view", 1000, ""));
             }
             for (Deployment.Client client : clients) {
-                assertTrue(client.answer().kind().matches("SERVED|REFUSED"));
+                assertTrue(client.readAnswer().kind().matches("SERVED|REFUSED"));
                 client.close();
             }
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
             assertTrue(millis < 4_000, millis + " ms");
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -57,11 +57,11 @@
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             for (int i = 0; i < 40; i++) {
-                served(client.ask(statement("reserve", 3000, "")), "s-a");
+                assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
             }
-            int opened = d.databases.get(0).opened.get();
+            int opened = d.databases.get(0).openedConnections.get();
             assertTrue(opened <= 4, "for 40 writes and some probes: " + opened);
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -72,16 +72,16 @@
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.delayMs = 300);
             for (int i = 0; i < 5; i++) {
-                TestWireClient.Answer answer = client.ask(statement("map-view", 200, ""));
+                TestWireClient.Answer answer = client.execute(statement("map-view", 200, ""));
                 assertTrue(answer.kind().matches("FAILED|REFUSED"), answer.toString());
                 Thread.sleep(400);
             }
             int opened = d.replicas().stream()
-                    .mapToInt(replica -> replica.opened.get())
+                    .mapToInt(replica -> replica.openedConnections.get())
                     .sum();
-            assertTrue(d.ledger.seen.size() >= 2, d.ledger.seen.toString());
+            assertTrue(d.attemptLog.attempts.size() >= 2, d.attemptLog.attempts.toString());
             assertTrue(opened <= 6, "for two replicas: " + opened);
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -90,11 +90,11 @@
     public void missedReadGoesToAnotherReplica(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.replicas().get(0).word = "MISS";
+            d.replicas().get(0).replyKind = "STALE";
             for (int i = 0; i < 5; i++) {
-                served(client.ask(statement("map-view", 1000, "")), "s-c");
+                assertServedBy(client.execute(statement("map-view", 1000, "")), "s-c");
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -103,14 +103,14 @@
     public void spoiltAnswerIsAFailedAttemptAndNeverServed(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.word = "SPOILT");
-            int ways = wire.spoilt(new TestWireClient.Verdict("", "", "", 0)).length;
-            for (int i = 0; i < 200 && d.ledger.at("s-a").size() < 3 * ways; i++) {
-                TestWireClient.Answer answer = client.ask(statement(i % 4 == 0 ? "map-view" : "reserve", 3000, ""));
-                assertTrue(answer.value() == null || answer.value().endsWith(":" + id()), answer.toString());
+            d.databases.forEach(database -> database.replyKind = "MALFORMED");
+            int ways = wire.malformedReplies(new TestWireClient.DatabaseReply("", "", "", 0)).length;
+            for (int i = 0; i < 200 && d.attemptLog.attemptsAt("s-a").size() < 3 * ways; i++) {
+                TestWireClient.Answer answer = client.execute(statement(i % 4 == 0 ? "map-view" : "reserve", 3000, ""));
+                assertTrue(answer.value() == null || answer.value().endsWith(":" + lastId()), answer.toString());
             }
-            assertTrue(d.ledger.at("s-a").size() >= 3 * ways, d.ledger.seen.toString());
-            kept(d);
+            assertTrue(d.attemptLog.attemptsAt("s-a").size() >= 3 * ways, d.attemptLog.attempts.toString());
+            assertNoViolations(d);
         }
     }
 
@@ -123,30 +123,30 @@
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client();
                 Deployment.Client other = d.client()) {
-            d.databases.forEach(database -> database.word = "TWICE");
+            d.databases.forEach(database -> database.replyKind = "DUPLICATE");
             for (int i = 0; i < 40; i++) {
                 client.send(statement(i % 2 == 0 ? "reserve" : "map-view", 3000, ""));
-                String first = id();
-                ownOrLateCopy(d, other.ask(statement("reserve", 3000, "")), id());
-                ownOrLateCopy(d, client.answer(), first);
+                String first = lastId();
+                ownOrLateCopy(d, other.execute(statement("reserve", 3000, "")), lastId());
+                ownOrLateCopy(d, client.readAnswer(), first);
             }
             assertEquals(
-                    d.ledger.seen.stream()
-                            .map(ScriptedDatabase.Seen::id)
+                    d.attemptLog.attempts.stream()
+                            .map(ScriptedDatabase.Attempt::id)
                             .distinct()
                             .count(),
                     80);
-            if (d.ledger.lateCopies.isEmpty()) {
-                assertEquals(d.ledger.seen.size(), 80);
+            if (d.attemptLog.delayedCopies.isEmpty()) {
+                assertEquals(d.attemptLog.attempts.size(), 80);
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
     private static void ownOrLateCopy(Deployment d, TestWireClient.Answer answer, String id) throws Exception {
         if (!String.valueOf(answer.value()).endsWith(":" + id)) {
             Thread.sleep(100);
-            assertTrue(d.ledger.lateCopies.contains(answer.value()), answer + " for " + id);
+            assertTrue(d.attemptLog.delayedCopies.contains(answer.value()), answer + " for " + id);
         }
     }
 
@@ -154,13 +154,13 @@
     public void reportThatCantBeReadSpoilsNoAnswer(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.word = "NO REPORT");
+            d.databases.forEach(database -> database.replyKind = "INVALID_REPORT");
             for (int i = 0; i < 10; i++) {
-                served(client.ask(statement("reserve", 3000, "")), "s-a");
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
-            assertEquals(d.ledger.seen.size(), 20);
-            kept(d);
+            assertEquals(d.attemptLog.attempts.size(), 20);
+            assertNoViolations(d);
         }
     }
 
@@ -169,15 +169,16 @@
     public void keyedWriteThatMayHaveRunIsRepeatedWithinItsKeyAndNeverRefused(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.primary().word = "BREAK";
-            TestWireClient.Answer answer = client.ask(statement("reserve", 3000, ""));
+            d.primary().replyKind = "DISCONNECT";
+            TestWireClient.Answer answer = client.execute(statement("reserve", 3000, ""));
             assertEquals(answer.kind(), "FAILED", answer.toString());
-            List<ScriptedDatabase.Seen> sent =
-                    d.ledger.seen.stream().filter(s -> s.id().equals(id())).toList();
-            long spread = sent.get(sent.size() - 1).at() - sent.get(0).at();
+            List<ScriptedDatabase.Attempt> sent = d.attemptLog.attempts.stream()
+                    .filter(s -> s.id().equals(lastId()))
+                    .toList();
+            long spread = sent.get(sent.size() - 1).receivedAt() - sent.get(0).receivedAt();
             assertTrue(sent.size() > 1 && sent.size() <= 8, sent.toString());
             assertTrue(spread < TimeUnit.MILLISECONDS.toNanos(2_050), sent.toString());
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -186,11 +187,11 @@
     public void readOnASilentReplicaIsWithdrawnAndGoesToTheOther(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.replicas().get(0).word = "SILENT";
+            d.replicas().get(0).replyKind = "NO_REPLY";
             for (int i = 0; i < 5; i++) {
-                served(client.ask(statement("map-view", 10_000, "")), "s-c");
+                assertServedBy(client.execute(statement("map-view", 10_000, "")), "s-c");
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -199,18 +200,18 @@
     public void everythingSilentEndsInOneAnswerWithinTheDeadline(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.word = "SILENT");
+            d.databases.forEach(database -> database.replyKind = "NO_REPLY");
             for (String className : List.of("map-view", "reserve")) {
                 long start = System.nanoTime();
-                TestWireClient.Answer answer = client.ask(statement(className, 600, ""));
+                TestWireClient.Answer answer = client.execute(statement(className, 600, ""));
                 long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
                 assertTrue(answer.kind().matches("REFUSED|FAILED"), answer.toString());
                 assertTrue(millis < 1_500, millis + " ms");
             }
-            d.databases.forEach(database -> database.word = "VALUE");
+            d.databases.forEach(database -> database.replyKind = "VALUE");
             Thread.sleep(1_500);
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
-            kept(d);
+            assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
+            assertNoViolations(d);
         }
     }
 
@@ -221,12 +222,12 @@
                 Deployment.Client client = d.client()) {
             long start = System.nanoTime();
             String elsewhere = statement("map-view", 30_000, "").replace("cluster=0", "cluster=7");
-            TestWireClient.Answer answer = client.ask(elsewhere);
+            TestWireClient.Answer answer = client.execute(elsewhere);
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
             assertEquals(answer.kind(), "REFUSED", answer.toString());
             assertTrue(answer.retryAfter() > 0, answer.toString());
             assertTrue(millis < 5_000, millis + " ms");
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -238,22 +239,26 @@
     public void resetConnectionsAreNoRestartsOfTheirDatabases(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.resets = true);
+            d.databases.forEach(database -> database.resetsConnections = true);
             int served = 0;
             for (int i = 0; i < 40; i++) {
                 for (String className : List.of("reserve", "map-view")) {
-                    served += client.ask(statement(className, 3000, "")).kind().equals("SERVED") ? 1 : 0;
+                    served += client.execute(statement(className, 3000, ""))
+                                    .kind()
+                                    .equals("SERVED")
+                            ? 1
+                            : 0;
                 }
                 Thread.sleep(15);
             }
-            String counters = d.end();
+            String counters = d.terminate();
             assertTrue(counters.contains("STALE_CONNECTION="), counters);
             assertTrue(d.log.stream().noneMatch(line -> line.contains("slow start")), d.log.toString());
             if (!counters.contains("RESET=")) {
                 assertEquals(served, 80, counters);
                 assertTrue(d.log.stream().noneMatch(line -> line.contains(" ejected: ")), d.log.toString());
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
@@ -262,15 +267,15 @@
     public void idleConnectionsAreEndedBeforeTheDatabaseEndsThem(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.idleMs = 4_000);
+            d.databases.forEach(database -> database.idleTimeoutMs = 4_000);
             for (int i = 0; i < 4; i++) {
-                assertEquals(client.ask(statement("reserve", 3000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("reserve", 3000, "")).kind(), "SERVED");
             }
             Thread.sleep(3_500);
             assertEquals(d.primary().connections(), 0);
-            assertEquals(client.ask(statement("reserve", 3000, "")).kind(), "SERVED");
-            assertEquals(d.ledger.seen.size(), 5);
-            kept(d);
+            assertEquals(client.execute(statement("reserve", 3000, "")).kind(), "SERVED");
+            assertEquals(d.attemptLog.attempts.size(), 5);
+            assertNoViolations(d);
         }
     }
 }
--- a/src/test/java/crankwick/app/ScriptedDatabase.java
+++ b/src/test/java/crankwick/app/ScriptedDatabase.java
@@ -17,23 +17,23 @@
 /** A small database: answers as it is told to, and notes what it was sent and when. */
 final class ScriptedDatabase extends LoopbackServer {
     /** What a database was sent: the request's id and when its last byte had come. */
-    record Seen(String server, String id, String statement, long at) {}
+    record Attempt(String server, String id, String statement, long receivedAt) {}
 
     /** What all the databases of a test have seen; the rules are read off it. */
-    static final class Ledger {
-        final List<Seen> seen = new CopyOnWriteArrayList<>();
-        final List<String> broken = new CopyOnWriteArrayList<>();
+    static final class AttemptLog {
+        final List<Attempt> attempts = new CopyOnWriteArrayList<>();
+        final List<String> violations = new CopyOnWriteArrayList<>();
         /** Values whose copy the machine held up past the time within which a copy must come to light. */
-        final Set<String> lateCopies = ConcurrentHashMap.newKeySet();
+        final Set<String> delayedCopies = ConcurrentHashMap.newKeySet();
 
         private final Set<String> inFlight = ConcurrentHashMap.newKeySet();
 
-        long sent(String id) {
-            return seen.stream().filter(s -> s.id().equals(id)).count();
+        long countAttempts(String id) {
+            return attempts.stream().filter(s -> s.id().equals(id)).count();
         }
 
-        List<Seen> at(String server) {
-            return seen.stream().filter(s -> s.server().equals(server)).toList();
+        List<Attempt> attemptsAt(String server) {
+            return attempts.stream().filter(s -> s.server().equals(server)).toList();
         }
     }
 
@@ -43,63 +43,64 @@
     final String name;
     volatile String mode;
     /**
-     * VALUE, MISS, FULL, ERROR, SILENT (no answer at all), BREAK (the connection ends instead), SPOILT (every
-     * third, one way after the other), TWICE (the value, right behind it a copy, every second time with the
-     * same write), HALVES (the value in two parts, each once {@link #halves} lets it go) or NO REPORT (unreadable).
+     * The reply to a statement. VALUE, or the errors STALE, OVERLOADED and ERROR; NO_REPLY: none is sent; DISCONNECT:
+     * the connection is closed instead; MALFORMED: every third reply is malformed, in each of the wire's ways in turn;
+     * DUPLICATE: the value and a copy of it, in alternation in one write and in two; SPLIT: the value in two halves,
+     * each after a permit of {@link #splitPermits}; INVALID_REPORT: the value with a load report that can't be parsed.
      */
-    volatile String word = "VALUE";
+    volatile String replyKind = "VALUE";
 
-    final Semaphore halves = new Semaphore(0);
+    final Semaphore splitPermits = new Semaphore(0);
     private int answers;
     volatile int delayMs;
     /** A value has so many characters before it. */
-    volatile int padding;
+    volatile int paddingChars;
 
     /** A new connection is greeted after so long. */
-    volatile int greetMs;
+    volatile int greetingDelayMs;
     /** A new connection is greeted once this is open; how many were. */
-    volatile CountDownLatch greeting = new CountDownLatch(0);
+    volatile CountDownLatch greetingLatch = new CountDownLatch(0);
 
-    final AtomicInteger greeted = new AtomicInteger();
+    final AtomicInteger greetedConnections = new AtomicInteger();
     /** Every fifth new connection is reset, and what had been answered on is reset by the next statement. */
-    volatile boolean resets;
+    volatile boolean resetsConnections;
 
     private int accepted;
     /** Connections that ever came up. */
-    final AtomicInteger opened = new AtomicInteger();
+    final AtomicInteger openedConnections = new AtomicInteger();
     /** Connections idle for so long are ended, as databases do. */
-    volatile int idleMs;
+    volatile int idleTimeoutMs;
 
     private final TestWireClient wire;
-    private final Ledger ledger;
+    private final AttemptLog attemptLog;
 
-    ScriptedDatabase(String name, String mode, TestWireClient wire, Ledger ledger) throws IOException {
+    ScriptedDatabase(String name, String mode, TestWireClient wire, AttemptLog attemptLog) throws IOException {
         this.name = name;
         this.mode = mode;
         this.wire = wire;
-        this.ledger = ledger;
+        this.attemptLog = attemptLog;
         start();
     }
 
     @Override
     void serve(Socket socket) throws IOException, InterruptedException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
-        if (resets && accepted++ % 5 == 4) {
+        if (resetsConnections && accepted++ % 5 == 4) {
             socket.setSoLinger(true, 0);
             return;
         }
-        opened.incrementAndGet();
-        Thread.sleep(greetMs);
-        greeting.await();
-        wire.greet(socket, in);
-        greeted.incrementAndGet();
+        openedConnections.incrementAndGet();
+        Thread.sleep(greetingDelayMs);
+        greetingLatch.await();
+        wire.acceptLogin(socket, in);
+        greetedConnections.incrementAndGet();
         for (int asked = 0; ; asked++) {
-            socket.setSoTimeout(idleMs);
-            String statement = wire.statement(in);
+            socket.setSoTimeout(idleTimeoutMs);
+            String statement = wire.readStatement(in);
             if (statement == null) {
                 return;
             }
-            if (resets && asked > 0) {
+            if (resetsConnections && asked > 0) {
                 socket.setSoLinger(true, 0);
                 return;
             }
@@ -111,8 +112,8 @@
     }
 
     private boolean answerProbe(Socket socket) throws IOException {
-        if (!word.equals("SILENT")) {
-            socket.getOutputStream().write(wire.reply(verdict("VALUE", ""), true));
+        if (!replyKind.equals("NO_REPLY")) {
+            socket.getOutputStream().write(wire.encodeReply(verdict("VALUE", ""), true));
         }
         return true;
     }
@@ -120,25 +121,25 @@
     private boolean answer(Socket socket, DataInputStream in, String statement) throws IOException {
         long at = System.nanoTime();
         String id = statement.replaceAll("(?s).*?id=([^, ]*).*", "$1");
-        ledger.seen.add(new Seen(name, id, statement, at));
-        if (!ledger.inFlight.add(id)) {
-            ledger.broken.add("two attempts of " + id + " in flight");
+        attemptLog.attempts.add(new Attempt(name, id, statement, at));
+        if (!attemptLog.inFlight.add(id)) {
+            attemptLog.violations.add("two attempts of " + id + " in flight");
         }
         try {
-            String verdict = word;
-            int wait = verdict.equals("SILENT") ? 60_000 : delayMs;
-            if (wait > 0 && !stays(socket, in, wait) || verdict.equals("BREAK")) {
+            String verdict = replyKind;
+            int wait = verdict.equals("NO_REPLY") ? 60_000 : delayMs;
+            if (wait > 0 && !stays(socket, in, wait) || verdict.equals("DISCONNECT")) {
                 return false;
             }
-            ledger.inFlight.remove(id);
+            attemptLog.inFlight.remove(id);
             long from = System.nanoTime();
-            for (byte[] part : parts(verdict, verdict(verdict, "v".repeat(padding) + name + ":" + id))) {
-                if (verdict.equals("HALVES")) {
-                    halves.acquire();
+            for (byte[] part : parts(verdict, verdict(verdict, "v".repeat(paddingChars) + name + ":" + id))) {
+                if (verdict.equals("SPLIT")) {
+                    splitPermits.acquire();
                 }
                 socket.getOutputStream().write(part);
                 if (System.nanoTime() - from > COPY_BY) {
-                    ledger.lateCopies.add(name + ":" + id);
+                    attemptLog.delayedCopies.add(name + ":" + id);
                 }
                 Thread.sleep(1);
             }
@@ -146,21 +147,21 @@
         } catch (InterruptedException e) {
             return false;
         } finally {
-            ledger.inFlight.remove(id);
+            attemptLog.inFlight.remove(id);
         }
     }
 
-    private synchronized List<byte[]> parts(String instead, TestWireClient.Verdict verdict) {
-        byte[][] spoilt = wire.spoilt(verdict);
-        if (instead.equals("SPOILT") && answers++ % 3 == 2) {
+    private synchronized List<byte[]> parts(String instead, TestWireClient.DatabaseReply verdict) {
+        byte[][] spoilt = wire.malformedReplies(verdict);
+        if (instead.equals("MALFORMED") && answers++ % 3 == 2) {
             return List.of(spoilt[answers / 3 % spoilt.length]);
         }
-        byte[] whole = wire.reply(verdict, false);
-        if (instead.equals("HALVES")) {
+        byte[] whole = wire.encodeReply(verdict, false);
+        if (instead.equals("SPLIT")) {
             int half = whole.length / 2;
             return List.of(Arrays.copyOf(whole, half), Arrays.copyOfRange(whole, half, whole.length));
         }
-        if (!instead.equals("TWICE")) {
+        if (!instead.equals("DUPLICATE")) {
             return List.of(whole);
         }
         byte[] both = Arrays.copyOf(whole, 2 * whole.length);
@@ -169,13 +170,13 @@
     }
 
     /** One that turns reads away is behind, and says so. */
-    private TestWireClient.Verdict verdict(String answer, String value) {
-        long behind = word.equals("MISS") ? 10_000 : 0;
+    private TestWireClient.DatabaseReply verdict(String answer, String value) {
+        long behind = replyKind.equals("STALE") ? 10_000 : 0;
         long position = System.currentTimeMillis() - behind;
         return switch (answer) {
-            case "NO REPORT" -> new TestWireClient.Verdict("VALUE", value, mode, position, "x0=9e99,x1=\1");
-            case "TWICE", "SPOILT", "HALVES" -> new TestWireClient.Verdict("VALUE", value, mode, position);
-            default -> new TestWireClient.Verdict(answer, value, mode, position);
+            case "INVALID_REPORT" -> new TestWireClient.DatabaseReply("VALUE", value, mode, position, "x0=9e99,x1=\1");
+            case "DUPLICATE", "MALFORMED", "SPLIT" -> new TestWireClient.DatabaseReply("VALUE", value, mode, position);
+            default -> new TestWireClient.DatabaseReply(answer, value, mode, position);
         };
     }
 
--- a/src/test/java/crankwick/app/ScriptedDiscovery.java
+++ b/src/test/java/crankwick/app/ScriptedDiscovery.java
@@ -11,38 +11,38 @@
 /** Discovery on a port of its own, whose answers take the form that a test wants. */
 final class ScriptedDiscovery extends LoopbackServer {
     /** How answers are written: some are whole, of the others no list can be read. */
-    enum Form {
-        WITH_LENGTH,
-        IN_CHUNKS,
-        TO_THE_CLOSE,
+    enum ResponseForm {
+        CONTENT_LENGTH,
+        CHUNKED,
+        UNTIL_CLOSE,
         BYTE_BY_BYTE,
-        EMPTY,
-        CUT,
-        CUT_WITHOUT_LENGTH,
-        ENDLESS,
-        NO_LIST,
-        TURNED_AWAY;
+        EMPTY_BODY,
+        TRUNCATED,
+        TRUNCATED_WITHOUT_LENGTH,
+        OVERSIZED,
+        INVALID_BODY,
+        UNAVAILABLE;
 
-        boolean isWhole() {
+        boolean isComplete() {
             return ordinal() <= BYTE_BY_BYTE.ordinal();
         }
     }
 
     /** What is answered to a call, by its query or null; returns when it is to be answered. */
-    interface Lists {
-        String answer(String query) throws InterruptedException;
+    interface ListSource {
+        String list(String query) throws InterruptedException;
     }
 
-    private static final int ENDLESS_BYTES = 3 << 20;
+    private static final int OVERSIZED_BYTES = 3 << 20;
 
-    volatile Form form = Form.WITH_LENGTH;
+    volatile ResponseForm responseForm = ResponseForm.CONTENT_LENGTH;
     /** Halves of answers wait for so long between them. */
-    volatile int pauseMs;
+    volatile int midResponsePauseMs;
 
-    private final Lists lists;
+    private final ListSource listSource;
 
-    ScriptedDiscovery(Lists lists) throws IOException {
-        this.lists = lists;
+    ScriptedDiscovery(ListSource listSource) throws IOException {
+        this.listSource = listSource;
         start();
     }
 
@@ -59,16 +59,16 @@
             continue;
         }
         int query = target.indexOf('?');
-        String list = lists.answer(query < 0 ? null : target.substring(query + 1));
+        String list = listSource.list(query < 0 ? null : target.substring(query + 1));
         byte[] body = list.getBytes(StandardCharsets.UTF_8);
-        write(socket.getOutputStream(), body, form);
+        write(socket.getOutputStream(), body, responseForm);
     }
 
-    private void write(OutputStream out, byte[] body, Form as) throws IOException, InterruptedException {
-        String status = "HTTP/1.1 " + (as == Form.TURNED_AWAY ? "503 Busy" : "200 OK") + "\r\n";
+    private void write(OutputStream out, byte[] body, ResponseForm as) throws IOException, InterruptedException {
+        String status = "HTTP/1.1 " + (as == ResponseForm.UNAVAILABLE ? "503 Busy" : "200 OK") + "\r\n";
         String length = "Content-Length: " + body.length + "\r\n\r\n";
         switch (as) {
-            case IN_CHUNKS -> {
+            case CHUNKED -> {
                 out.write((status + "Transfer-Encoding: chunked\r\n\r\n").getBytes());
                 for (int at = 0; at < body.length; at += 100) {
                     byte[] part = Arrays.copyOfRange(body, at, Math.min(body.length, at + 100));
@@ -78,7 +78,7 @@
                 }
                 out.write("0\r\n\r\n".getBytes());
             }
-            case TO_THE_CLOSE -> {
+            case UNTIL_CLOSE -> {
                 out.write((status + "Connection: close\r\n\r\n").getBytes());
                 out.write(body);
             }
@@ -88,23 +88,23 @@
                     Thread.sleep(0, 200_000);
                 }
             }
-            case CUT, CUT_WITHOUT_LENGTH -> {
-                out.write((status + (as == Form.CUT ? length : "\r\n")).getBytes());
+            case TRUNCATED, TRUNCATED_WITHOUT_LENGTH -> {
+                out.write((status + (as == ResponseForm.TRUNCATED ? length : "\r\n")).getBytes());
                 out.write(body, 0, body.length / 2);
             }
-            case ENDLESS -> {
+            case OVERSIZED -> {
                 out.write((status + "Connection: close\r\n\r\n").getBytes());
-                for (int written = 0; written < ENDLESS_BYTES; written += body.length) {
+                for (int written = 0; written < OVERSIZED_BYTES; written += body.length) {
                     out.write(body);
                 }
             }
-            case NO_LIST -> out.write((status + "Content-Length: 3\r\n\r\n{]\0").getBytes());
-            case EMPTY -> out.write((status + "Content-Length: 0\r\n\r\n").getBytes());
-            case TURNED_AWAY -> out.write((status + "Content-Length: 0\r\n\r\n").getBytes());
+            case INVALID_BODY -> out.write((status + "Content-Length: 3\r\n\r\n{]\0").getBytes());
+            case EMPTY_BODY -> out.write((status + "Content-Length: 0\r\n\r\n").getBytes());
+            case UNAVAILABLE -> out.write((status + "Content-Length: 0\r\n\r\n").getBytes());
             default -> {
                 out.write((status + length).getBytes());
                 out.write(body, 0, body.length / 2);
-                Thread.sleep(pauseMs);
+                Thread.sleep(midResponsePauseMs);
                 out.write(body, body.length / 2, body.length - body.length / 2);
             }
         }
--- a/src/test/java/crankwick/app/SoakClient.java
+++ b/src/test/java/crankwick/app/SoakClient.java
@@ -91,14 +91,14 @@
             return false;
         }
         for (SoakRecord.Request request : asked) {
-            TestWireClient.Answer answer = client.answer();
+            TestWireClient.Answer answer = client.readAnswer();
             if (answer.kind().equals("CLOSED")) {
                 return false;
             }
             record.answered(request, answer);
         }
         for (int i = 0; many && i < MANY; i++) {
-            client.answer();
+            client.readAnswer();
         }
         return true;
     }
@@ -119,7 +119,7 @@
     private void leave(Deployment.Client client) throws IOException {
         int way = random.nextInt(4);
         if (way == 0 && deployment.wire instanceof TdsTestClient tds) {
-            tds.attention(client.socket);
+            tds.sendAttention(client.socket);
         } else if (way == 1) {
             client.socket.shutdownOutput();
         } else {
--- a/src/test/java/crankwick/app/SoakRecord.java
+++ b/src/test/java/crankwick/app/SoakRecord.java
@@ -123,13 +123,13 @@
     }
 
     /** Judges all requests, the proxy having been killed at that instant. */
-    List<Break> judge(List<ScriptedDatabase.Seen> attempts, long killedAt) {
+    List<Break> judge(List<ScriptedDatabase.Attempt> attempts, long killedAt) {
         over = true;
         List<Break> all = new ArrayList<>(breaks);
         for (Request request : requests.values()) {
             judgeAnswer(request, killedAt, all);
         }
-        for (ScriptedDatabase.Seen attempt : attempts) {
+        for (ScriptedDatabase.Attempt attempt : attempts) {
             Request request = requests.get(attempt.id());
             if (request != null) {
                 judgeAttempt(request, attempt, all);
@@ -154,18 +154,18 @@
         }
     }
 
-    private void judgeAttempt(Request request, ScriptedDatabase.Seen attempt, List<Break> all) {
-        long after = attempt.at() - request.goneAt;
-        if (request.goneAt != 0 && after > LEAVE_TOLERANCE + stoppedIn(request.goneAt, attempt.at())) {
+    private void judgeAttempt(Request request, ScriptedDatabase.Attempt attempt, List<Break> all) {
+        long after = attempt.receivedAt() - request.goneAt;
+        if (request.goneAt != 0 && after > LEAVE_TOLERANCE + stoppedIn(request.goneAt, attempt.receivedAt())) {
             all.add(new Break(
                     "sent after its client had gone",
                     request.id,
                     request + ", " + attempt.server() + " +" + TimeUnit.NANOSECONDS.toMillis(after) + " ms after"));
         }
         long told = Long.parseLong(attempt.statement().replaceAll("(?s).*?,d=(\\d+),.*", "$1"));
-        long left = request.askedAt + TimeUnit.MILLISECONDS.toNanos(request.waitMs) - attempt.at();
+        long left = request.askedAt + TimeUnit.MILLISECONDS.toNanos(request.waitMs) - attempt.receivedAt();
         if (TimeUnit.MILLISECONDS.toNanos(told)
-                > left + DEADLINE_TOLERANCE + stoppedIn(request.askedAt, attempt.at())) {
+                > left + DEADLINE_TOLERANCE + stoppedIn(request.askedAt, attempt.receivedAt())) {
             all.add(new Break("deadline", request.id, request + ", told " + told + " ms"));
         }
     }
--- a/src/test/java/crankwick/app/StartIT.java
+++ b/src/test/java/crankwick/app/StartIT.java
@@ -39,14 +39,14 @@
         System.setProperty("crankwick.jvm", flags());
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            d.others = 1_021;
+            d.otherGroupEndpoints = 1_021;
             for (int i = 0; i < 4; i++) {
                 ScriptedDatabase leaving = d.replicas().get(i % 2);
-                d.list(leaving, "draining");
-                String value = client.ask("/* id=" + i + ",c=map-view,d=2000,cluster=0 */ SELECT 1")
+                d.publishState(leaving, "draining");
+                String value = client.execute("/* id=" + i + ",c=map-view,d=2000,cluster=0 */ SELECT 1")
                         .value();
                 assertEquals(value, d.replicas().get(1 - i % 2).name + ":" + i);
-                d.list(leaving, "up");
+                d.publishState(leaving, "up");
             }
             assertTrue(d.log.stream().noneMatch(line -> line.contains("Error")), d.log.toString());
         } finally {
@@ -61,7 +61,7 @@
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             String statement = "/* id=1,c=map-view,d=2000,cluster=0 */ SELECT val FROM state";
-            assertEquals(client.ask(statement).kind(), "SERVED");
+            assertEquals(client.execute(statement).kind(), "SERVED");
             for (String name : List.of(
                     "java.lang.runtime.ObjectMethods",
                     "java.util.logging.ConsoleHandler",
--- a/src/test/java/crankwick/app/TdsTestClient.java
+++ b/src/test/java/crankwick/app/TdsTestClient.java
@@ -13,7 +13,7 @@
 
 /** TDS, written for the tests alone so that it does not share the program's mistakes. */
 final class TdsTestClient implements TestWireClient {
-    private static final Map<String, Integer> NUMBERS = Map.of("MISS", 50072, "FULL", 10928, "ERROR", 8650);
+    private static final Map<String, Integer> NUMBERS = Map.of("STALE", 50072, "OVERLOADED", 10928, "ERROR", 8650);
     private static final byte[] PRELOGIN = {1, 0, 6, 0, 1, (byte) 0xFF, 2};
 
     private static ByteBuffer buffer() {
@@ -100,28 +100,28 @@
         ByteBuffer login = buffer().put(new byte[40]).putShort((short) 94).putShort((short) team.length());
         socket.getOutputStream()
                 .write(packets(0x10, login.put(new byte[94 - 44]).put(utf16(team))));
-        if (answer(in).kind().equals("FAILED")) {
+        if (readAnswer(in).kind().equals("FAILED")) {
             throw new EOFException("login refused");
         }
     }
 
     @Override
-    public void ask(Socket socket, String statement) throws IOException {
-        socket.getOutputStream().write(command(statement, 0));
+    public void send(Socket socket, String statement) throws IOException {
+        socket.getOutputStream().write(encodeCommand(statement, 0));
     }
 
     @Override
-    public byte[] command(String statement, int less) {
+    public byte[] encodeCommand(String statement, int omittedBytes) {
         byte[] whole = batch(statement);
-        return Arrays.copyOf(whole, whole.length - less);
+        return Arrays.copyOf(whole, whole.length - omittedBytes);
     }
 
-    void attention(Socket socket) throws IOException {
+    void sendAttention(Socket socket) throws IOException {
         socket.getOutputStream().write(packets(6, new byte[0]));
     }
 
     @Override
-    public Answer answer(DataInputStream in) throws IOException {
+    public Answer readAnswer(DataInputStream in) throws IOException {
         ByteBuffer body;
         try {
             body = ByteBuffer.wrap(message(in, new int[1])).order(ByteOrder.LITTLE_ENDIAN);
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void greet(Socket socket, DataInputStream in) throws IOException {
+    public void acceptLogin(Socket socket, DataInputStream in) throws IOException {
         message(in, new int[1]);
         socket.getOutputStream().write(packets(4, PRELOGIN));
         message(in, new int[1]);
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public String statement(DataInputStream in) throws IOException {
+    public String readStatement(DataInputStream in) throws IOException {
         int[] type = new int[1];
         try {
             ByteBuffer body = ByteBuffer.wrap(message(in, type)).order(ByteOrder.LITTLE_ENDIAN);
@@ -197,15 +197,15 @@
     }
 
     @Override
-    public byte[] reply(Verdict verdict, boolean probe) {
+    public byte[] encodeReply(DatabaseReply databaseReply, boolean probe) {
         ByteBuffer out = buffer();
-        word(out, 0xAB, 50010, "mode=" + verdict.mode());
-        word(out, 0xAB, 50010, "wal_time=" + verdict.position());
-        word(out, 0xAB, 50010, "stats=" + verdict.report());
-        if (!probe && verdict.word().equals("VALUE")) {
-            row(columns(out), verdict.value(), 0);
+        word(out, 0xAB, 50010, "mode=" + databaseReply.mode());
+        word(out, 0xAB, 50010, "wal_time=" + databaseReply.position());
+        word(out, 0xAB, 50010, "stats=" + databaseReply.report());
+        if (!probe && databaseReply.kind().equals("VALUE")) {
+            row(columns(out), databaseReply.value(), 0);
         } else if (!probe) {
-            word(out, 0xAA, NUMBERS.get(verdict.word()), "no");
+            word(out, 0xAA, NUMBERS.get(databaseReply.kind()), "no");
         }
         return packets(4, done(out));
     }
@@ -232,8 +232,8 @@
     }
 
     @Override
-    public byte[][] spoilt(Verdict verdict) {
-        String value = verdict.value();
+    public byte[][] malformedReplies(DatabaseReply databaseReply) {
+        String value = databaseReply.value();
         ByteBuffer endless = columns(buffer());
         endless.put((byte) 0xD1).putShort((short) 0xFFFE).put(new byte[10_000]);
         return new byte[][] {
@@ -255,7 +255,7 @@
     }
 
     @Override
-    public byte[][] nonsense() {
+    public byte[][] invalidInputs() {
         return new byte[][] {
             "GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII),
             {0x12, 1, 0, 3, 0, 0, 0, 0},
--- a/src/test/java/crankwick/app/TestWireClient.java
+++ b/src/test/java/crankwick/app/TestWireClient.java
@@ -12,36 +12,36 @@
     }
 
     /** What a database answers: a value, or one of the words MISS, FULL, ERROR; its position as Unix time. */
-    record Verdict(String word, String value, String mode, long position, String report) {
-        Verdict(String word, String value, String mode, long position) {
-            this(word, value, mode, position, "x0=" + position / 1e3 + ",x1=" + (mode.equals("read-write") ? 1 : 0));
+    record DatabaseReply(String kind, String value, String mode, long position, String report) {
+        DatabaseReply(String kind, String value, String mode, long position) {
+            this(kind, value, mode, position, "x0=" + position / 1e3 + ",x1=" + (mode.equals("read-write") ? 1 : 0));
         }
     }
 
     /** Logs in as a client; null if the login is turned away. */
     void login(Socket socket, String team) throws IOException;
 
-    void ask(Socket socket, String statement) throws IOException;
+    void send(Socket socket, String statement) throws IOException;
 
     /** The bytes of a command, less so many at the end. */
-    byte[] command(String statement, int less);
+    byte[] encodeCommand(String statement, int omittedBytes);
 
-    Answer answer(DataInputStream in) throws IOException;
+    Answer readAnswer(DataInputStream in) throws IOException;
 
     /** Takes a proxy's login as a database. */
-    void greet(Socket socket, DataInputStream in) throws IOException;
+    void acceptLogin(Socket socket, DataInputStream in) throws IOException;
 
     /** The next statement that a proxy sends; null at the end. */
-    String statement(DataInputStream in) throws IOException;
+    String readStatement(DataInputStream in) throws IOException;
 
     /** True if the statement is a probe. */
     boolean isProbe(String statement);
 
-    byte[] reply(Verdict verdict, boolean probe);
+    byte[] encodeReply(DatabaseReply databaseReply, boolean probe);
 
     /** What a database may send instead of the answer that serves a value: none of it serves anything. */
-    byte[][] spoilt(Verdict verdict);
+    byte[][] malformedReplies(DatabaseReply databaseReply);
 
     /** Bytes that no peer should send. */
-    byte[][] nonsense();
+    byte[][] invalidInputs();
 }
