--- a/src/main/java/crankwick/app/EmulateCommand.java
+++ b/src/main/java/crankwick/app/EmulateCommand.java
@@ -84,14 +84,14 @@
         PrintWriter out = spec.commandLine().getOut();
         try (DatabaseEmulator emulator =
                 new DatabaseEmulator(codec, groups, seed, new EmulatedEndpointList(zone, zoneFile))) {
-            out.println("discovery at 127.0.0.1:" + emulator.listPort());
-            out.println(emulator.list());
+            out.println("discovery at 127.0.0.1:" + emulator.discoveryPort());
+            out.println(emulator.endpointsJson());
             out.flush();
             emulator.scheduleFaults(failovers, TimeUnit.MILLISECONDS.toMicros(intervalMillis));
             TimeUnit.SECONDS.sleep(durationSeconds);
-            out.println(new Gson().toJson(emulator.executionLog().figures()));
+            out.println(new Gson().toJson(emulator.executionLog().statistics()));
             out.flush();
-            return emulator.executionLog().isSound() ? 0 : 1;
+            return emulator.executionLog().hasNoViolations() ? 0 : 1;
         }
     }
 }
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -209,12 +209,12 @@
     // ---- For callers ---------------------------------------------------------------------------------
 
     /** Where the list of databases is served over HTTP. */
-    public int listPort() {
+    public int discoveryPort() {
         return list.port();
     }
 
     /** The whole list as it is served now. */
-    public String list() {
+    public String endpointsJson() {
         return list.json();
     }
 
--- a/src/main/java/crankwick/emulator/ExecutionLog.java
+++ b/src/main/java/crankwick/emulator/ExecutionLog.java
@@ -72,23 +72,23 @@
     }
 
     /** Changes of leaders so far. */
-    public synchronized long changes() {
+    public synchronized long failovers() {
         return failovers;
     }
 
     /** False if a key was applied twice, a request was at two databases at once, or one collapsed. */
-    public synchronized boolean isSound() {
+    public synchronized boolean hasNoViolations() {
         return appliedTwice + concurrentAttempts + collapses == 0;
     }
 
-    /** All figures under the names that the command line prints; only "changes" and "keys" may be other than 0. */
-    public synchronized Map<String, Object> figures() {
-        Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("changes", failovers);
-        figures.put("keys", timesApplied.size());
-        figures.put("applied_twice", appliedTwice);
-        figures.put("second_attempts", concurrentAttempts);
-        figures.put("fallen", collapses);
-        return figures;
+    /** All statistics under the names that the command line prints; only "changes" and "keys" may be other than 0. */
+    public synchronized Map<String, Object> statistics() {
+        Map<String, Object> statistics = new LinkedHashMap<>();
+        statistics.put("changes", failovers);
+        statistics.put("keys", timesApplied.size());
+        statistics.put("applied_twice", appliedTwice);
+        statistics.put("second_attempts", concurrentAttempts);
+        statistics.put("fallen", collapses);
+        return statistics;
     }
 }
--- a/src/test/java/crankwick/app/FailoverIT.java
+++ b/src/test/java/crankwick/app/FailoverIT.java
@@ -139,8 +139,8 @@
             assertTrue(proxy.waitFor(10, TimeUnit.SECONDS));
             assertEquals(done.size(), HELD);
             assertTrue(
-                    emulation.executionLog().isSound(),
-                    emulation.executionLog().figures().toString());
+                    emulation.executionLog().hasNoViolations(),
+                    emulation.executionLog().statistics().toString());
             done.forEach(d -> assertToldAsItWent(d, emulation.executionLog().timesApplied(d.key())));
             assertTrue(log.stream().anyMatch(line -> line.contains("handover: failovers=")), log.toString());
         }
@@ -170,9 +170,9 @@
             platform = Files.writeString(
                     folder.resolve("config.json"),
                     "{\"name\":\"n0\","
-                            + "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + emulation.listPort()
+                            + "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + emulation.discoveryPort()
                             + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":"
-                            + emulation.list() + ",\"settings\":"
+                            + emulation.endpointsJson() + ",\"settings\":"
                             + Toml.parse(OPERATOR_FILE).getTable("settings").toJson() + "}");
         }
         return Deployment.start(platform, operator);
@@ -252,10 +252,10 @@
             Thread.sleep(100);
         }
         Thread.sleep(500);
-        Map<String, Object> figures = ledger.figures();
+        Map<String, Object> figures = ledger.statistics();
         String said = figures + " " + ledger.leaderlessPeriods();
         assertEquals(done.size(), SECONDS * RATE);
-        assertTrue(ledger.changes() >= 1, said);
+        assertTrue(ledger.failovers() >= 1, said);
         assertEquals(figures.get("applied_twice"), 0L, said);
         assertEquals(figures.get("second_attempts"), 0L, said);
         assertEquals(figures.get("fallen"), 0L, said);
