--- a/src/main/java/crankwick/app/Commands.java
+++ b/src/main/java/crankwick/app/Commands.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line. {@link Main} starts {@code serve} and {@code simhost} without it where it can. */
+/** The picocli command line. {@link Main} starts {@code serve} and {@code simhost} directly if they need no parsing. */
 @Command(
         name = "crankwick",
         description = "A broker between services and groups of replicated databases.",
@@ -18,15 +18,15 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs a command line; 0, 1 where a check found something, 2 with one line for misuse. */
+    /** Runs a command; returns 0, 1 if a check found a violation, or 2 after one line for invalid usage. */
     static int run(String... args) {
         return new CommandLine(new Commands())
-                .setParameterExceptionHandler(Commands::misuse)
+                .setParameterExceptionHandler(Commands::reportInvalidUsage)
                 .execute(args);
     }
 
-    private static int misuse(ParameterException e, String[] args) {
-        e.getCommandLine().getErr().println(e.getMessage().lines().findFirst().orElse("unusable arguments"));
+    private static int reportInvalidUsage(ParameterException e, String[] args) {
+        e.getCommandLine().getErr().println(e.getMessage().lines().findFirst().orElse("invalid arguments"));
         return CommandLine.ExitCode.USAGE;
     }
 
@@ -34,24 +34,25 @@
     public void run() {
         throw new ParameterException(
                 spec.commandLine(),
-                "a command is wanted: " + String.join(", ", spec.subcommands().keySet()));
+                "missing command, expected one of: "
+                        + String.join(", ", spec.subcommands().keySet()));
     }
 
-    /** Ends the command as misuse, with the message, unless the condition holds. */
+    /** Throws a usage error with the message unless the condition holds. */
     static void require(CommandSpec spec, boolean condition, String message) {
         if (!condition) {
             throw new ParameterException(spec.commandLine(), message);
         }
     }
 
-    /** Ends the command as misuse unless the option's value is within the bounds, which count as allowed. */
+    /** Throws a usage error unless the option's value is between {@code min} and {@code max}, inclusive. */
     static void requireRange(CommandSpec spec, String option, long value, long min, long max) {
         if (value < min || value > max) {
-            throw new ParameterException(spec.commandLine(), option + " takes " + min + " to " + max);
+            throw new ParameterException(spec.commandLine(), option + " must be between " + min + " and " + max);
         }
     }
 
-    /** The version in the jar's manifest. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/crankwick/app/LoggingBridge.java
+++ b/src/main/java/crankwick/app/LoggingBridge.java
@@ -3,11 +3,11 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * The configuration of java.util.logging, which Grizzly logs to: all goes to SLF4J. The default one sets
- * a console handler up first, which costs time at the start.
+ * Configuration class of java.util.logging, the logging API of Grizzly: routes all records to SLF4J. The default
+ * configuration creates a console handler first, which delays startup.
  */
 public final class LoggingBridge {
-    /** Called by the log manager when the first library asks for a logger. */
+    /** Called by the log manager when a library first requests a logger. */
     public LoggingBridge() {
         SLF4JBridgeHandler.install();
     }
--- a/src/main/java/crankwick/app/Main.java
+++ b/src/main/java/crankwick/app/Main.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The entry point. {@code serve}, one real proxy, and {@code simhost}, the adapter to the simulator, start without
- * the command line's library; {@link Commands} runs the rest.
+ * The entry point. Starts {@code serve} (a proxy) and {@code simhost} (the simulator adapter) without loading picocli;
+ * {@link Commands} handles all other command lines.
  */
 public final class Main {
     private static final int EXIT_USAGE = 2;
 
     private Main() {}
 
-    /** Exits with status 2 and one line where the command or a configuration can't be used. */
+    /** Exits with status 2 and one line on standard error if the command or a configuration is invalid. */
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length == 1 && args[0].equals("simhost")) {
             SimulatorCommand.run();
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Serves the platform's listener if ROUTER_CONFIG is set, the TDS listener if an operator's file is given. */
+    /** Starts the platform listener if ROUTER_CONFIG is set and the TDS listener if an operator file is given. */
     static void serve(Path operatorFile) throws IOException, InterruptedException {
         System.setProperty("java.util.logging.config.class", LoggingBridge.class.getName());
         List<Service> services = new CopyOnWriteArrayList<>();
@@ -49,7 +49,7 @@
         try {
             String platformFile = System.getenv("ROUTER_CONFIG");
             if (platformFile == null && operatorFile == null) {
-                exitWithUsage("neither ROUTER_CONFIG nor an operator's file is given");
+                exitWithUsage("no listener configured: ROUTER_CONFIG is not set and no operator file is given");
             }
             PlatformConfig platform = platformFile == null ? null : PlatformConfig.read(Path.of(platformFile));
             OperatorConfig operator = operatorFile == null ? null : OperatorConfig.read(operatorFile);
@@ -68,19 +68,19 @@
         Thread.currentThread().join();
     }
 
-    /** All listeners shut down side by side: the time until SIGKILL is the same for each. */
+    /** Shuts down all services concurrently, because one SIGKILL deadline applies to all of them. */
     private static void close(List<Service> services) {
         services.forEach(Service::beginClose);
         services.forEach(Service::awaitClosed);
     }
 
-    /** SIGHUP asks for a reload; the JVM would end on it, so this comes before all else. */
+    /** Reloads on SIGHUP. Must be installed first: without a handler, the JVM exits on SIGHUP. */
     @SuppressWarnings("sunapi")
     private static void onHangup(Runnable reload) {
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
     }
 
-    /** The platform's listener; the failover settings are the operator's, null without them. */
+    /** Starts the platform listener; the failover settings come from the operator file and may be null. */
     private static Service startPlatform(
             Path file, PlatformConfig config, Transport transport, FailoverSettings failoverSettings)
             throws IOException {
@@ -97,7 +97,7 @@
         service.start(
                 config.listen(),
                 config.sockets(),
-                config.known(),
+                config.initialEndpoints(),
                 (loop, clock) -> new HttpEndpointWatch(
                         transport,
                         loop,
@@ -106,8 +106,8 @@
                         new HttpEndpointWatch.InitialState(
                                 config.discovery(),
                                 () -> PlatformConfig.read(file).discovery(),
-                                config.known(),
-                                config.version(),
+                                config.initialEndpoints(),
+                                config.endpointListVersion(),
                                 config.seed()),
                         service::onEndpointsUpdated));
         return service;
@@ -124,16 +124,17 @@
                 config.sockets(),
                 transport,
                 config.failoverSettings());
-        Discovery.ListUpdate known = EndpointList.requireComplete(DnsSdZoneFile.parse(config.zone(), zones));
+        Discovery.ListUpdate initialEndpoints =
+                EndpointList.requireComplete(DnsSdZoneFile.parse(config.dnsZone(), zones));
         service.start(
                 config.listen(),
                 config.sockets(),
-                known,
+                initialEndpoints,
                 (loop, clock) -> new DnsSdZoneFile(
-                        config.zone(),
-                        () -> OperatorConfig.read(file).zone(),
+                        config.dnsZone(),
+                        () -> OperatorConfig.read(file).dnsZone(),
                         zones,
-                        known,
+                        initialEndpoints,
                         config.rereadIntervalMicros(),
                         loop,
                         service::onEndpointsUpdated));
--- a/src/main/java/crankwick/app/OperatorConfig.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -22,15 +22,16 @@
 import org.xbill.DNS.TextParseException;
 
 /**
- * The operator's file of the TDS listener; see deploy/tds.toml for its keys.
+ * The operator's configuration file of the TDS listener; deploy/tds.toml documents its keys.
  *
- * @param rereadIntervalMicros how often the zone file is read again
- * @param failoverSettings null where failovers are left to the router alone
+ * @param rereadIntervalMicros the interval at which the zone file is reread
+ * @param failoverSettings null if the file has no {@code handover} table; the failover coordinator is then
+ *     disabled and only the router handles failovers
  */
 record OperatorConfig(
         InetSocketAddress listen,
         int sockets,
-        DnsSdZoneFile.DnsZone zone,
+        DnsSdZoneFile.DnsZone dnsZone,
         long rereadIntervalMicros,
         Map<String, Contract> contracts,
         FailoverSettings failoverSettings,
@@ -55,13 +56,13 @@
             "planned_least_ms",
             "planned_most_ms");
 
-    /** Reads the file; throws IllegalArgumentException naming the key at fault. */
+    /** Reads the file; throws an IllegalArgumentException with the path of the invalid key. */
     static OperatorConfig read(Path file) {
         TomlParseResult root;
         try {
             root = Toml.parse(file);
         } catch (IOException e) {
-            throw new IllegalArgumentException(file + " can't be read", e);
+            throw new IllegalArgumentException(file + " cannot be read", e);
         }
         if (root.hasErrors()) {
             throw new IllegalArgumentException(file + ": " + root.errors().get(0));
@@ -75,23 +76,23 @@
 
     private static OperatorConfig read(Path file, ConfigTable root) {
         root.requireKnownKeys(ROOT_KEYS);
-        ConfigTable discovery = root.table("discovery");
+        ConfigTable discovery = root.requiredTable("discovery");
         discovery.requireKnownKeys(DISCOVERY_KEYS);
-        SettingsCodec settings = settings(root.table("settings"));
+        SettingsCodec settings = settings(root.requiredTable("settings"));
         InetSocketAddress listen =
-                ConfigTable.converted("listen", root.text("listen"), EndpointListCodec::parseAddress);
-        DnsSdZoneFile.DnsZone zone = zone(file, discovery);
-        ConfigTable.converted(discovery.path("records"), zone, z -> endpoints(z, settings.zoneNames()));
+                ConfigTable.convert("listen", root.requiredString("listen"), EndpointListCodec::parseAddress);
+        DnsSdZoneFile.DnsZone dnsZone = dnsZone(file, discovery);
+        ConfigTable.convert(discovery.path("records"), dnsZone, z -> endpoints(z, settings.zoneNames()));
         Map<String, Contract> contracts = new HashMap<>();
-        ConfigTable teams = root.table("teams");
+        ConfigTable teams = root.requiredTable("teams");
         for (String team : teams.keys()) {
-            contracts.put(team, contract(teams.table(team), settings.requestClassNames()));
+            contracts.put(team, contract(teams.requiredTable(team), settings.requestClassNames()));
         }
         return new OperatorConfig(
                 listen,
-                (int) root.positive("sockets"),
-                zone,
-                TimeUnit.MILLISECONDS.toMicros(discovery.positive("reread_ms")),
+                (int) root.requiredPositive("sockets"),
+                dnsZone,
+                TimeUnit.MILLISECONDS.toMicros(discovery.requiredPositive("reread_ms")),
                 contracts,
                 failoverSettings(root),
                 settings);
@@ -105,14 +106,14 @@
         }
     }
 
-    private static DnsSdZoneFile.DnsZone zone(Path file, ConfigTable discovery) {
-        Path records = file.toAbsolutePath().resolveSibling(discovery.text("records"));
-        Name service =
-                ConfigTable.converted(discovery.path("service"), discovery.text("service"), OperatorConfig::name);
+    private static DnsSdZoneFile.DnsZone dnsZone(Path file, ConfigTable discovery) {
+        Path records = file.toAbsolutePath().resolveSibling(discovery.requiredString("records"));
+        Name service = ConfigTable.convert(
+                discovery.path("service"), discovery.requiredString("service"), OperatorConfig::parseName);
         return new DnsSdZoneFile.DnsZone(records, service);
     }
 
-    /** Null without the table: failovers are then left to the router alone. */
+    /** Returns null if the {@code handover} table is missing: only the router then handles failovers. */
     private static FailoverSettings failoverSettings(ConfigTable root) {
         ConfigTable table = root.optionalTable("handover");
         if (table == null) {
@@ -121,19 +122,19 @@
         table.requireKnownKeys(FAILOVER_KEYS);
         FailoverSettings defaults = FailoverSettings.DEFAULT;
         return new FailoverSettings(
-                (int) table.integer("held_per_group", defaults.maxBufferedPerGroup()),
-                (int) table.integer("held_per_team", defaults.maxBufferedPerTeam()),
-                table.integer("held_bytes_per_group", defaults.maxBytesPerGroup()),
-                table.integer("held_bytes_per_team", defaults.maxBytesPerTeam()),
-                table.number("hope_least", defaults.minSuccessProbability()),
-                (int) table.integer("start_window", defaults.initialWindow()),
-                table.micros("key_margin_ms", defaults.keyMargin()),
-                (int) table.integer("keys", defaults.maxKeys()),
-                table.micros("key_memory_ms", defaults.keyRetention()),
-                table.micros("unplanned_least_ms", defaults.minUnplannedDuration()),
-                table.micros("unplanned_most_ms", defaults.maxUnplannedDuration()),
-                table.micros("planned_least_ms", defaults.minPlannedDuration()),
-                table.micros("planned_most_ms", defaults.maxPlannedDuration()));
+                (int) table.integerOrDefault("held_per_group", defaults.maxBufferedPerGroup()),
+                (int) table.integerOrDefault("held_per_team", defaults.maxBufferedPerTeam()),
+                table.integerOrDefault("held_bytes_per_group", defaults.maxBytesPerGroup()),
+                table.integerOrDefault("held_bytes_per_team", defaults.maxBytesPerTeam()),
+                table.numberOrDefault("hope_least", defaults.minSuccessProbability()),
+                (int) table.integerOrDefault("start_window", defaults.initialWindow()),
+                table.durationOrDefault("key_margin_ms", defaults.keyMargin()),
+                (int) table.integerOrDefault("keys", defaults.maxKeys()),
+                table.durationOrDefault("key_memory_ms", defaults.keyRetention()),
+                table.durationOrDefault("unplanned_least_ms", defaults.minUnplannedDuration()),
+                table.durationOrDefault("unplanned_most_ms", defaults.maxUnplannedDuration()),
+                table.durationOrDefault("planned_least_ms", defaults.minPlannedDuration()),
+                table.durationOrDefault("planned_most_ms", defaults.maxPlannedDuration()));
     }
 
     private static Contract contract(ConfigTable team, List<String> classNames) {
@@ -142,26 +143,26 @@
         for (Object name : team.list("classes")) {
             int classIndex = classNames.indexOf(name);
             if (classIndex < 0) {
-                throw ConfigTable.unusable(team.path("classes") + ": no class " + name, null);
+                throw ConfigTable.invalidKey(team.path("classes") + ": unknown class " + name, null);
             }
             classes.add(classIndex);
         }
         return new Contract(
                 classes,
-                team.integer("rate_per_second", 0),
-                (int) team.integer("outstanding", 0),
-                team.micros("deadline_cap_ms", 0));
+                team.integerOrDefault("rate_per_second", 0),
+                (int) team.integerOrDefault("outstanding", 0),
+                team.durationOrDefault("deadline_cap_ms", 0));
     }
 
-    private static Discovery.ListUpdate endpoints(DnsSdZoneFile.DnsZone zone, List<String> zones) {
+    private static Discovery.ListUpdate endpoints(DnsSdZoneFile.DnsZone dnsZone, List<String> zones) {
         try {
-            return EndpointList.requireComplete(DnsSdZoneFile.parse(zone, zones));
+            return EndpointList.requireComplete(DnsSdZoneFile.parse(dnsZone, zones));
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
-    private static Name name(String text) {
+    private static Name parseName(String text) {
         try {
             return Name.fromString(text, Name.root);
         } catch (TextParseException e) {
--- a/src/main/java/crankwick/app/PlatformConfig.java
+++ b/src/main/java/crankwick/app/PlatformConfig.java
@@ -12,11 +12,11 @@
 import java.nio.file.Path;
 
 /**
- * The platform's configuration of a proxy, from the file named by {@code ROUTER_CONFIG}.
+ * The configuration that the platform gives a proxy, read from the file named by {@code ROUTER_CONFIG}.
  *
- * @param sockets the limit of open sockets
- * @param version the version of {@code known}
- * @param known the endpoint list at the start, which may be outdated
+ * @param sockets the maximum number of open sockets
+ * @param endpointListVersion the version of {@code initialEndpoints}
+ * @param initialEndpoints the endpoint list used at startup, which may be outdated
  */
 record PlatformConfig(
         String name,
@@ -25,11 +25,11 @@
         long seed,
         int sockets,
         SettingsCodec settings,
-        long version,
-        Discovery.ListUpdate known) {
+        long endpointListVersion,
+        Discovery.ListUpdate initialEndpoints) {
     private static final int SEED_RADIX = 16;
 
-    /** Reads the file; throws IllegalArgumentException naming the key at fault. */
+    /** Reads the file; throws an IllegalArgumentException with the invalid key. */
     static PlatformConfig read(Path file) throws IOException {
         String text = Files.readString(file);
         String key = "config";
@@ -40,7 +40,7 @@
             key = "known";
             EndpointListCodec.VersionedList list =
                     new EndpointListCodec(settings.zoneNames()).parse(root.getAsJsonObject(key));
-            Discovery.ListUpdate known = EndpointList.requireComplete(list.entries());
+            Discovery.ListUpdate initialEndpoints = EndpointList.requireComplete(list.entries());
             key = "listen";
             InetSocketAddress listen =
                     EndpointListCodec.parseAddress(root.get(key).getAsString());
@@ -52,7 +52,14 @@
             key = "limits.sockets";
             int sockets = root.getAsJsonObject("limits").get("sockets").getAsInt();
             return new PlatformConfig(
-                    root.get("name").getAsString(), listen, discovery, seed, sockets, settings, list.version(), known);
+                    root.get("name").getAsString(),
+                    listen,
+                    discovery,
+                    seed,
+                    sockets,
+                    settings,
+                    list.version(),
+                    initialEndpoints);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(file.getFileName() + ": " + key + ": " + e.getMessage(), e);
         } catch (RuntimeException e) {
--- a/src/main/java/crankwick/app/ServeCommand.java
+++ b/src/main/java/crankwick/app/ServeCommand.java
@@ -6,15 +6,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code serve}: one real proxy. */
+/** {@code serve}: runs one proxy. */
 @Command(
         name = "serve",
-        description = "Serves as one proxy: the platform's front where ROUTER_CONFIG "
-                + "names a configuration, the TDS front where an operator's file is given.",
+        description = "Runs one proxy: the platform listener if ROUTER_CONFIG names "
+                + "a configuration file, the TDS listener if an operator file is given.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class)
 final class ServeCommand implements Callable<Integer> {
-    @Parameters(arity = "0..1", paramLabel = "OPERATOR.toml", description = "The operator's file.")
+    @Parameters(arity = "0..1", paramLabel = "OPERATOR.toml", description = "The operator's configuration file.")
     private Path operatorFile;
 
     @Override
--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -24,34 +24,37 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One listener with its broker, database pool and discovery: constructs them, and shuts them down. */
+/** Owns a listener with its broker, database pool and discovery: creates, starts, reloads and closes them. */
 final class Service {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
-    /** How long after SIGTERM connections are still accepted: clients arrive for up to 0.4 s. */
+    /** How long connections are accepted after SIGTERM: clients may still connect for up to 0.4 s. */
     private static final long ACCEPT_AFTER_SIGTERM_MICROS = 450_000;
 
-    /** Logged at intervals, since a process that is killed logs nothing at its end. */
+    /** Counters are also logged periodically, because a process that is killed cannot log them at exit. */
     private static final long COUNTERS_INTERVAL_MICROS = 10_000_000;
 
     private static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 10_000;
 
-    /** The platform sends SIGKILL no sooner than the longest deadline, up to this maximum, and the delay below. */
+    /**
+     * The platform sends SIGKILL no earlier than the longest deadline, capped at this value, plus
+     * {@link #KILL_DELAY_AFTER_DEADLINE_MICROS} after SIGTERM.
+     */
     private static final long MAX_DEADLINE_BEFORE_KILL_MICROS = 3_000_000;
 
     private static final long KILL_DELAY_AFTER_DEADLINE_MICROS = 700_000;
 
-    /** From the signal until the shutdown hook runs, and from its end until the process has ended. */
+    /** Time from SIGTERM to the start of the shutdown hook plus time from the hook's end to process exit. */
     private static final long SIGNAL_AND_EXIT_MICROS = 350_000;
 
-    /** Between the last replies and the end; covers an event loop that is late. */
+    /** Margin between the last replies and the shutdown deadline; covers delays of the event loop. */
     private static final long LAST_REPLIES_BEFORE_END_MICROS = 150_000;
 
-    /** Fractions of the descriptors; the rest is for discovery, files and the transport. */
+    /** Fractions of the socket limit; the rest is reserved for discovery, files and the transport. */
     private static final double CLIENT_SOCKET_FRACTION = 0.42;
 
     private static final double DATABASE_SOCKET_FRACTION = 0.36;
 
-    /** A wire protocol's name and its codecs for both sides. */
+    /** A wire protocol's name and its codecs for client and database connections. */
     record Protocol(String name, CodecFilter clientCodec, CodecFilter databaseCodec) {}
 
     private final Protocol protocol;
@@ -67,7 +70,7 @@
     private String lastCounters = "";
     private final CountDownLatch closed = new CountDownLatch(1);
 
-    /** Failovers are left to the router alone where {@code failoverSettings} is null. */
+    /** With null {@code failoverSettings}, there is no failover coordinator and only the router handles failovers. */
     Service(
             Protocol protocol,
             SettingsCodec settings,
@@ -92,11 +95,11 @@
                                 (sockets * CLIENT_SOCKET_FRACTION)));
     }
 
-    /** Listens, and is ready once a list that names a database is known. */
+    /** Opens the listening socket; the listener becomes ready with the first endpoint list that is not empty. */
     void start(
             InetSocketAddress listen,
             int sockets,
-            Discovery.ListUpdate known,
+            Discovery.ListUpdate initialEndpoints,
             BiFunction<EventLoop, Clock, Discovery> discoveryFactory)
             throws IOException {
         pool = new DatabasePool(
@@ -112,14 +115,14 @@
             new StartupWarmup(settings, protocol.clientCodec(), protocol.databaseCodec()).run();
             discovery = discoveryFactory.apply(loop, clock);
             runner.attachExecutors(listener, pool);
-            onEndpointsUpdated(known);
+            onEndpointsUpdated(initialEndpoints);
             discovery.start();
             loop.schedule(COUNTERS_INTERVAL_MICROS, this::logCounters);
         });
         listener.listen(transport, listen);
     }
 
-    /** Takes an update of the endpoint list over, on the event loop. */
+    /** Applies an endpoint list update; runs on the event loop. */
     void onEndpointsUpdated(Discovery.ListUpdate update) {
         runner.updateEndpoints(update);
         if (!update.discoveredEndpoints().isEmpty()) {
@@ -127,17 +130,17 @@
         }
     }
 
-    /** Takes a new configuration's discovery over, as a task of the event loop. */
+    /** Reloads the discovery configuration in an event loop task. */
     void reload() {
         loop.execute(() -> {
             if (discovery != null) {
-                LOG.info("{} reloading its configuration", protocol.name());
+                LOG.info("{} listener: reloading the discovery configuration", protocol.name());
                 discovery.reload();
             }
         });
     }
 
-    /** Microseconds from the shutdown hook's start until the process must have ended. */
+    /** Maximum duration of the shutdown hook in microseconds, so that the process exits before SIGKILL. */
     private long shutdownTimeoutMicros() {
         long maxDeadline = 0;
         for (RequestClass requestClass : settings.routingSettings().requestClasses()) {
@@ -148,11 +151,11 @@
                 - SIGNAL_AND_EXIT_MICROS;
     }
 
-    /** Serves on while clients may still connect, then stops listening and drains. */
+    /** Continues to serve while clients may still connect, then stops listening and drains. */
     void beginClose() {
         long shutdownDeadline = clock.now() + shutdownTimeoutMicros();
         loop.execute(() -> LOG.info(
-                "{} shutting down, {} requests open: {}",
+                "{} listener: shutting down with {} outstanding requests; counts so far: {}",
                 protocol.name(),
                 broker.outstandingRequests(),
                 allCounters()));
@@ -162,7 +165,7 @@
         });
     }
 
-    /** Waits until all requests are answered, or the time until SIGKILL is over. */
+    /** Waits until all requests are answered or the shutdown deadline has passed. */
     void awaitClosed() {
         try {
             closed.await(shutdownTimeoutMicros() + LAST_REPLIES_BEFORE_END_MICROS, TimeUnit.MICROSECONDS);
@@ -186,7 +189,7 @@
         String counters = allCounters();
         if (!counters.equals(lastCounters)) {
             lastCounters = counters;
-            LOG.info("{} counted so far: {}", protocol.name(), counters);
+            LOG.info("{} listener: counts so far: {}", protocol.name(), counters);
         }
         loop.schedule(COUNTERS_INTERVAL_MICROS, this::logCounters);
     }
@@ -194,7 +197,10 @@
     private void awaitDrained(long shutdownDeadline) {
         if (listener.hasNoConnections() && broker.outstandingRequests() == 0 || clock.now() > shutdownDeadline) {
             if (broker.outstandingRequests() > 0 || !listener.hasNoConnections()) {
-                LOG.warn("{} shut down with {} requests unanswered", protocol.name(), broker.outstandingRequests());
+                LOG.warn(
+                        "{} listener: not drained before the shutdown deadline; closing with {} outstanding requests",
+                        protocol.name(),
+                        broker.outstandingRequests());
             }
             if (discovery != null) {
                 discovery.close();
--- a/src/main/java/crankwick/app/SimhostCommand.java
+++ b/src/main/java/crankwick/app/SimhostCommand.java
@@ -5,10 +5,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code simhost}: the adapter to the simulator. */
+/** {@code simhost}: runs routers for the simulator. */
 @Command(
         name = "simhost",
-        description = "Hosts routers on the simulator's wire, standard input to " + "standard output.",
+        description = "Hosts routers for the simulator: reads its protocol from standard input "
+                + "and writes replies to standard output.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class)
 final class SimhostCommand implements Callable<Integer> {
--- a/src/main/java/crankwick/app/StartupWarmup.java
+++ b/src/main/java/crankwick/app/StartupWarmup.java
@@ -22,7 +22,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Runs made-up requests through a broker of its own before the proxy is ready, so that the hot path is compiled
+ * Runs synthetic requests through a separate broker before the proxy is ready, so that the hot path is compiled
  * before the first real requests.
  */
 final class StartupWarmup {
@@ -34,16 +34,17 @@
     private static final long REQUIRED_POSITION_AGE_MILLIS = 900;
     private static final int ATTEMPT_TIMEOUT_MILLIS = 400;
     private static final int VALUE_BYTES = 8;
-    /** Every so many requests, one attempt ends with this result. */
+    /** The attempts of every RESET_INTERVAL-th request end with {@code RESET}. */
     private static final int RESET_INTERVAL = 50;
 
+    /** The attempts of every INELIGIBLE_INTERVAL-th request end with {@code INELIGIBLE_REPLICA}. */
     private static final int INELIGIBLE_INTERVAL = 20;
 
     private final List<String> classNames;
     private final Broker broker;
     private final CodecFilter clientCodec;
     private final CodecFilter databaseCodec;
-    private final ArrayDeque<BrokerEvent> dueEvents = new ArrayDeque<>();
+    private final ArrayDeque<BrokerEvent> pendingEvents = new ArrayDeque<>();
     private long now = START_MICROS;
 
     StartupWarmup(SettingsCodec settings, CodecFilter clientCodec, CodecFilter databaseCodec) {
@@ -78,8 +79,8 @@
                     statement.timeoutMillis() * MICROS_PER_MILLI,
                     statement.idempotencyKey(),
                     0)));
-            for (int events = dueEvents.size(); events > 0; events--) {
-                handle(dueEvents.poll());
+            for (int events = pendingEvents.size(); events > 0; events--) {
+                handle(pendingEvents.poll());
             }
         }
     }
@@ -87,26 +88,26 @@
     private void handle(BrokerEvent event) {
         for (Effect effect : broker.reduce(event, now)) {
             if (effect instanceof Effect.SendAttempt send) {
-                dueEvents.add(new BrokerEvent.AttemptWritten(send.requestId(), send.attempt()));
-                dueEvents.add(attemptEnded(send));
+                pendingEvents.add(new BrokerEvent.AttemptWritten(send.requestId(), send.attempt()));
+                pendingEvents.add(attemptEnded(send));
             } else if (effect instanceof Effect.SendReply reply) {
                 clientCodec.encode(new ClientReply.RequestReply(reply.reply()));
             } else if (effect instanceof Effect.CheckHealth check) {
-                dueEvents.add(new BrokerEvent.HealthCheckEnded(
-                        check.endpointId(), AttemptResult.OK, STEP_MICROS, report(check.endpointId())));
+                pendingEvents.add(new BrokerEvent.HealthCheckEnded(
+                        check.endpointId(), AttemptResult.OK, STEP_MICROS, loadReport(check.endpointId())));
             } else if (effect instanceof Effect.ScheduleTimer timer
                     && timer.event() instanceof BrokerEvent.RoutingTimerFired) {
-                dueEvents.add(timer.event());
+                pendingEvents.add(timer.event());
             }
         }
     }
 
-    /** Most attempts succeed; a few are reset or reach an ineligible replica. */
+    /** Creates the end of an attempt: most succeed, a few are reset or reach an ineligible replica. */
     private BrokerEvent attemptEnded(Effect.SendAttempt send) {
         AttemptResult result = send.requestId() % RESET_INTERVAL == 0
                 ? AttemptResult.RESET
                 : send.requestId() % INELIGIBLE_INTERVAL == 0 ? AttemptResult.INELIGIBLE_REPLICA : AttemptResult.OK;
-        LoadReport report = report(send.endpointId());
+        LoadReport report = loadReport(send.endpointId());
         return new BrokerEvent.AttemptEnded(
                 send.requestId(),
                 send.attempt(),
@@ -118,7 +119,7 @@
                 new byte[VALUE_BYTES]);
     }
 
-    private LoadReport report(String endpointId) {
+    private LoadReport loadReport(String endpointId) {
         Role role = endpointId.equals("m0") ? Role.PRIMARY : Role.REPLICA;
         return new LoadReport(now - STEP_MICROS, role, Double.NaN, Double.NaN, Double.NaN);
     }
--- a/src/main/java/crankwick/app/package-info.java
+++ b/src/main/java/crankwick/app/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The program: its command line, its configuration files, and the parts put together and taken down.
+ * The program: the command line, the configuration files, and the construction and shutdown of the services.
  */
 package crankwick.app;
--- a/src/main/java/crankwick/simulator/EventDecoder.java
+++ b/src/main/java/crankwick/simulator/EventDecoder.java
@@ -13,18 +13,19 @@
 import java.util.List;
 
 /**
- * Decodes the parts of a line that follow its first word. Events are decoded by the settings of their instance,
- * which are null where that does not run: its lines are still checked.
+ * Decodes the tokens that follow the message name of a line. Events are decoded with the settings of their instance;
+ * the settings are null if the instance is not running, in which case the line's syntax is still checked.
  */
 final class EventDecoder {
-    /** Decimal places that turn the wire's milliseconds into microseconds. */
-    static final int MILLIS_TO_MICROS = 3;
+    /** Decimal places of a time in milliseconds; reading with these gives microseconds. */
+    static final int MILLIS_DECIMAL_PLACES = 3;
 
-    private static final int WHOLE_NUMBER = 0;
+    private static final int INTEGER_DECIMAL_PLACES = 0;
     private static final long MICROS_PER_MILLI = 1_000;
-    /** A load report's numbers are read times this. */
+    /** The factor by which {@link LineReader#nextRow} scales the values of a load report. */
     private static final double REPORT_SCALE = 1e6;
 
+    /** The scaled value 1 of the role field: the database is a primary. */
     private static final long REPORTED_PRIMARY = 1_000_000;
 
     private final LineReader in;
@@ -33,33 +34,33 @@
         this.in = in;
     }
 
-    /** The fields of {@code item}: an endpoint of a list. */
+    /** Decodes {@code item}, an endpoint of a list. */
     Endpoint endpoint() {
-        String endpointId = in.nextWord();
+        String endpointId = in.nextToken();
         int zone = (int) in.nextInteger();
-        in.nextWord();
+        in.nextToken();
         long groupId = in.nextInteger();
-        Role role = in.nextDecimal(WHOLE_NUMBER, 0) == 1 ? Role.PRIMARY : Role.UNKNOWN;
-        EndpointStatus status = WireWords.STATUSES.get(in.nextWord());
+        Role role = in.nextDecimal(INTEGER_DECIMAL_PLACES, 0) == 1 ? Role.PRIMARY : Role.UNKNOWN;
+        EndpointStatus status = WireValues.STATUSES.get(in.nextToken());
         if (status == null) {
             throw in.malformed("unknown lifecycle");
         }
-        in.nextWord();
-        long startedAt = in.isAtLineEnd() ? 0 : in.nextDecimal(MILLIS_TO_MICROS, 0);
+        in.nextToken();
+        long startedAt = in.isAtLineEnd() ? 0 : in.nextDecimal(MILLIS_DECIMAL_PLACES, 0);
         return new Endpoint(endpointId, zone, groupId, role, status, startedAt);
     }
 
-    /** The fields of {@code knock}: a client's request. */
+    /** Decodes {@code knock}, a client's request. */
     RoutingRequest request(SettingsCodec settings) {
         long requestId = in.nextRequestId();
-        long tokenAge = in.nextDecimal(MILLIS_TO_MICROS, AbsentValue.NONE);
+        long tokenAge = in.nextDecimal(MILLIS_DECIMAL_PLACES, AbsentValue.NONE);
         long groupId = in.nextInteger();
-        in.nextWord();
+        in.nextToken();
         int classIndex = (int) in.nextInteger();
-        in.nextWord();
-        in.nextWord();
-        long expiresAt = in.nextDecimal(MILLIS_TO_MICROS, 0);
-        long sessionId = in.isAtLineEnd() ? AbsentValue.NONE : in.nextDecimal(WHOLE_NUMBER, AbsentValue.NONE);
+        in.nextToken();
+        in.nextToken();
+        long expiresAt = in.nextDecimal(MILLIS_DECIMAL_PLACES, 0);
+        long sessionId = in.isAtLineEnd() ? AbsentValue.NONE : in.nextDecimal(INTEGER_DECIMAL_PLACES, AbsentValue.NONE);
         if (settings != null && !hasClass(settings, classIndex)) {
             throw in.malformed("unknown class");
         }
@@ -71,14 +72,14 @@
                 && classIndex < settings.routingSettings().requestClasses().size();
     }
 
-    /** The fields of {@code outcome}: an attempt's end. */
+    /** Decodes {@code outcome}, the end of an attempt. */
     AttemptOutcome outcome(SettingsCodec settings) {
         long requestId = in.nextRequestId();
         boolean requestFinished = in.nextBoolean();
-        long note = in.nextDecimal(WHOLE_NUMBER, 0);
+        long roleAndPosition = in.nextDecimal(INTEGER_DECIMAL_PLACES, 0);
         AttemptResult result = result();
-        long duration = in.nextDecimal(MILLIS_TO_MICROS, 0);
-        String endpointId = in.nextWord();
+        long duration = in.nextDecimal(MILLIS_DECIMAL_PLACES, 0);
+        String endpointId = in.nextToken();
         int attempt = (int) in.nextInteger();
         return new AttemptOutcome(
                 requestId,
@@ -87,25 +88,25 @@
                 result,
                 duration,
                 endpointId,
-                WireWords.roleOfNote(note),
-                position(note, settings),
+                WireValues.decodeRole(roleAndPosition),
+                position(roleAndPosition, settings),
                 loadReport(settings));
     }
 
-    private static long position(long note, SettingsCodec settings) {
-        long millis = WireWords.positionOfNote(note);
+    private static long position(long roleAndPosition, SettingsCodec settings) {
+        long millis = WireValues.decodePositionMillis(roleAndPosition);
         return millis == 0 || settings == null ? AbsentValue.NONE : settings.timeOrigin() + millis * MICROS_PER_MILLI;
     }
 
-    /** The fields of {@code pong}: a health check's end. */
+    /** Decodes {@code pong}, the end of a health check. */
     HealthCheckResult healthCheck(SettingsCodec settings) {
         AttemptResult result = result();
-        long duration = in.nextDecimal(MILLIS_TO_MICROS, 0);
-        return new HealthCheckResult(in.nextWord(), result, duration, loadReport(settings));
+        long duration = in.nextDecimal(MILLIS_DECIMAL_PLACES, 0);
+        return new HealthCheckResult(in.nextToken(), result, duration, loadReport(settings));
     }
 
     private AttemptResult result() {
-        AttemptResult result = WireWords.RESULTS.get(in.nextWord());
+        AttemptResult result = WireValues.RESULTS.get(in.nextToken());
         if (result == null) {
             throw in.malformed("unknown result");
         }
--- a/src/main/java/crankwick/simulator/LineReader.java
+++ b/src/main/java/crankwick/simulator/LineReader.java
@@ -8,9 +8,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Reads the wire's lines byte by byte and takes their parts, without a string for each. */
+/** Reads lines of space-separated tokens from a byte stream without creating a string for each token. */
 final class LineReader {
-    /** Stands in a row for a field that is absent. */
+    /** The value of an absent field in a row. */
     static final long ABSENT_FIELD = Long.MIN_VALUE;
 
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -26,13 +26,13 @@
     private int lineEnd;
     private int position;
     private long lineNumber;
-    private final Map<Integer, String> words = new HashMap<>();
+    private final Map<Integer, String> cachedTokens = new HashMap<>();
 
     LineReader(InputStream in) {
         this.in = in;
     }
 
-    /** Moves to the next line; false at the end of input. */
+    /** Advances to the next line; returns false at the end of input. */
     boolean nextLine() throws IOException {
         int scan = nextLineStart;
         while (true) {
@@ -57,7 +57,7 @@
         lineNumber++;
     }
 
-    /** Moves the unread bytes to the buffer's front and reads further ones; false at the end of input. */
+    /** Moves the unread bytes to the start of the buffer and reads more; returns false at the end of input. */
     private boolean readMore() throws IOException {
         System.arraycopy(buffer, nextLineStart, buffer, 0, bufferedBytes - nextLineStart);
         bufferedBytes -= nextLineStart;
@@ -79,47 +79,47 @@
         return false;
     }
 
-    /** An exception that names the line at fault. */
-    WireException malformed(String what) {
+    /** Creates an exception with the number and the start of the current line. */
+    WireException malformed(String fault) {
         String line =
                 new String(buffer, lineStart, Math.min(lineEnd - lineStart, MAX_QUOTED_BYTES), StandardCharsets.UTF_8);
-        return new WireException("line " + lineNumber + ": " + what + ": " + line);
+        return new WireException("line " + lineNumber + ": " + fault + ": " + line);
     }
 
     boolean isAtLineEnd() {
         return position >= lineEnd;
     }
 
-    /** The next part as a string; the same string each time for short parts. */
-    String nextWord() {
+    /** The next token as a string; recurring tokens return a cached string. */
+    String nextToken() {
         int from = position;
-        int to = skipPart();
+        int to = skipToken();
         int hash = 7;
         for (int i = from; i < to; i++) {
             hash = hash * 31 + buffer[i];
         }
-        String known = words.get(hash);
-        if (known != null && matches(known, from, to)) {
-            return known;
+        String cached = cachedTokens.get(hash);
+        if (cached != null && matches(cached, from, to)) {
+            return cached;
         }
-        String word = new String(buffer, from, to - from, StandardCharsets.UTF_8);
-        words.put(hash, word);
-        return word;
+        String token = new String(buffer, from, to - from, StandardCharsets.UTF_8);
+        cachedTokens.put(hash, token);
+        return token;
     }
 
-    private boolean matches(String word, int from, int to) {
-        if (word.length() != to - from) {
+    private boolean matches(String token, int from, int to) {
+        if (token.length() != to - from) {
             return false;
         }
         for (int i = from; i < to; i++) {
-            if (word.charAt(i - from) != buffer[i]) {
+            if (token.charAt(i - from) != buffer[i]) {
                 return false;
             }
         }
         return true;
     }
 
-    private int skipPart() {
+    private int skipToken() {
         if (position >= lineEnd) {
             throw malformed("a part is missing");
         }
@@ -134,17 +134,16 @@
         return to;
     }
 
-    /** The rest of the line. */
     String restOfLine() {
         String text = new String(buffer, position, lineEnd - position, StandardCharsets.UTF_8);
         position = lineEnd;
         return text;
     }
 
-    /** The next part as a decimal number times 10^{@code places}, cut off; {@code absent} for a dash. */
+    /** The next token as a decimal times 10^{@code places}, truncated; {@code absent} if the token is a dash. */
     long nextDecimal(int places, long absent) {
         int from = position;
-        int to = skipPart();
+        int to = skipToken();
         return to - from == 1 && buffer[from] == '-' ? absent : parseDecimal(from, to, places);
     }
 
@@ -197,10 +196,10 @@
         return nextInteger() != 0;
     }
 
-    /** A request id: 16 hex digits. */
+    /** The next token as a request id of 16 hexadecimal digits. */
     long nextRequestId() {
         int from = position;
-        int to = skipPart();
+        int to = skipToken();
         if (to - from != REQUEST_ID_DIGITS) {
             throw malformed("not a request id");
         }
@@ -215,10 +214,13 @@
         return value;
     }
 
-    /** The next part as comma-separated numbers, times 10^6 or {@link #ABSENT_FIELD}; null for a dash. */
+    /**
+     * The next token as a row of comma-separated fields, each scaled by 10^6 or {@link #ABSENT_FIELD}; null if the
+     * token is a dash.
+     */
     long[] nextRow() {
         int from = position;
-        int to = skipPart();
+        int to = skipToken();
         if (to - from == 1 && buffer[from] == '-') {
             return null;
         }
--- a/src/main/java/crankwick/simulator/ReplyWriter.java
+++ b/src/main/java/crankwick/simulator/ReplyWriter.java
@@ -9,19 +9,19 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Writes a router's actions as lines of the wire. */
+/** Writes routing actions as lines of the simulator's protocol. */
 final class ReplyWriter implements RoutingActions {
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-    /** The wire takes timers of 71 minutes at most. */
+    /** The simulator accepts timers of at most 71 minutes. */
     private static final long MAX_TIMER_MICROS = 70L * 60 * 1_000_000;
 
     private static final int REQUEST_ID_DIGITS = 16;
     private static final int MAX_NUMBER_DIGITS = 20;
-    private static final int MAX_CACHED_WORDS = 4_096;
+    private static final int MAX_CACHED_STRINGS = 4_096;
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final OutputStream out;
-    private final Map<String, byte[]> encoded = new HashMap<>();
+    private final Map<String, byte[]> encodedStrings = new HashMap<>();
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
     private long instance;
@@ -31,119 +31,119 @@
         this.out = out;
     }
 
-    /** The actions that follow are those of this instance. */
+    /** Selects the instance to which subsequent actions belong. */
     void selectInstance(long id) {
         instance = id;
         instanceWritten = false;
     }
 
-    /** Ends the reply. */
+    /** Appends the final {@code ready} line and sends the reply. */
     void flush() throws IOException {
-        text("ready");
+        appendString("ready");
         endLine();
         out.write(buffer, 0, size);
         out.flush();
         size = 0;
     }
 
-    /** Reports that the decisions have failed. */
-    void fatal(String what) {
-        begin("fatal ");
-        text(what.replaceAll("\\s+", " "));
+    /** Reports that the router of the selected instance has thrown an exception. */
+    void fatal(String message) {
+        beginAction("fatal ");
+        appendString(message.replaceAll("\\s+", " "));
         endLine();
     }
 
     @Override
     public void send(long requestId, String endpointId, long timeout) {
-        begin("route ");
-        hex(requestId);
-        space();
-        text(endpointId);
-        space();
+        beginAction("route ");
+        appendHex(requestId);
+        appendSpace();
+        appendString(endpointId);
+        appendSpace();
         if (timeout == AbsentValue.NONE) {
-            text("-");
+            appendString("-");
         } else {
-            millis(timeout);
+            appendMillis(timeout);
         }
         endLine();
     }
 
     @Override
     public void reject(long requestId, long retryAfter) {
-        begin("decline ");
-        hex(requestId);
-        space();
-        millis(retryAfter);
+        beginAction("decline ");
+        appendHex(requestId);
+        appendSpace();
+        appendMillis(retryAfter);
         endLine();
     }
 
     @Override
     public void fail(long requestId) {
-        begin("report_failure ");
-        hex(requestId);
+        beginAction("report_failure ");
+        appendHex(requestId);
         endLine();
     }
 
     @Override
     public void checkHealth(String endpointId) {
-        begin("ask_load ");
-        text(endpointId);
+        beginAction("ask_load ");
+        appendString(endpointId);
         endLine();
     }
 
     @Override
     public void cancelAttempt(long requestId, int attempt) {
-        begin("drop_attempt ");
-        hex(requestId);
-        space();
-        number(attempt);
+        beginAction("drop_attempt ");
+        appendHex(requestId);
+        appendSpace();
+        appendNumber(attempt);
         endLine();
     }
 
     @Override
     public void scheduleTimer(long delay, long timerId) {
-        begin("arm ");
-        millis(Math.min(Math.max(0, delay), MAX_TIMER_MICROS));
-        space();
-        number(timerId);
+        beginAction("arm ");
+        appendMillis(Math.min(Math.max(0, delay), MAX_TIMER_MICROS));
+        appendSpace();
+        appendNumber(timerId);
         endLine();
     }
 
     @Override
     public void watchEndpoints() {
-        begin("tail 1");
+        beginAction("tail 1");
         endLine();
     }
 
     @Override
     public void fetchEndpoints() {
-        begin("get_list");
+        beginAction("get_list");
         endLine();
     }
 
     @Override
     public void log(String line) {
-        begin("say_log ");
-        text(line);
+        beginAction("say_log ");
+        appendString(line);
         endLine();
     }
 
-    private void begin(String word) {
+    private void beginAction(String prefix) {
         if (!instanceWritten) {
             instanceWritten = true;
-            text("at ");
-            number(instance);
+            appendString("at ");
+            appendNumber(instance);
             endLine();
         }
-        text(word);
+        appendString(prefix);
     }
 
-    private void text(String s) {
-        byte[] bytes = encoded.get(s);
+    private void appendString(String string) {
+        byte[] bytes = encodedStrings.get(string);
         if (bytes == null) {
-            bytes = s.getBytes(StandardCharsets.UTF_8);
-            if (encoded.size() < MAX_CACHED_WORDS) {
-                encoded.put(s, bytes);
+            bytes = string.getBytes(StandardCharsets.UTF_8);
+            if (encodedStrings.size() < MAX_CACHED_STRINGS) {
+                encodedStrings.put(string, bytes);
             }
         }
         ensureCapacity(bytes.length);
@@ -151,26 +151,26 @@
         size += bytes.length;
     }
 
-    private void hex(long id) {
+    private void appendHex(long id) {
         ensureCapacity(REQUEST_ID_DIGITS);
         for (int shift = 60; shift >= 0; shift -= 4) {
             buffer[size++] = HEX[(int) (id >>> shift) & 15];
         }
     }
 
-    private void millis(long micros) {
-        number(micros / 1000);
-        int rest = (int) (micros % 1000);
-        if (rest != 0) {
+    private void appendMillis(long micros) {
+        appendNumber(micros / 1000);
+        int remainder = (int) (micros % 1000);
+        if (remainder != 0) {
             ensureCapacity(4);
             buffer[size++] = '.';
-            buffer[size++] = (byte) ('0' + rest / 100);
-            buffer[size++] = (byte) ('0' + rest / 10 % 10);
-            buffer[size++] = (byte) ('0' + rest % 10);
+            buffer[size++] = (byte) ('0' + remainder / 100);
+            buffer[size++] = (byte) ('0' + remainder / 10 % 10);
+            buffer[size++] = (byte) ('0' + remainder % 10);
         }
     }
 
-    private void number(long value) {
+    private void appendNumber(long value) {
         ensureCapacity(MAX_NUMBER_DIGITS);
         if (value < 10 && value >= 0) {
             buffer[size++] = (byte) ('0' + value);
@@ -181,7 +181,7 @@
         size += digits.length;
     }
 
-    private void space() {
+    private void appendSpace() {
         ensureCapacity(1);
         buffer[size++] = ' ';
     }
@@ -191,9 +191,9 @@
         buffer[size++] = '\n';
     }
 
-    private void ensureCapacity(int more) {
-        if (size + more > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + more));
+    private void ensureCapacity(int additionalBytes) {
+        if (size + additionalBytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + additionalBytes));
         }
     }
 }
--- a/src/main/java/crankwick/simulator/SimulatorAdapter.java
+++ b/src/main/java/crankwick/simulator/SimulatorAdapter.java
@@ -17,9 +17,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns batches of wire lines into events for the routers that it hosts, and their actions into replies. */
+/** Hosts routers: decodes batches of input lines into routing events and writes the routers' actions as replies. */
 final class SimulatorAdapter {
-    /** One simulated proxy. */
+    /** A running router with the settings of its simulated proxy. */
     private record Instance(SettingsCodec settings, Router router) {}
 
     private final LineReader in;
@@ -28,9 +28,9 @@
     private final Map<Long, Instance> instances = new HashMap<>();
     private final List<List<Endpoint>> endpointLists = new ArrayList<>();
     private long now;
-    private long currentId;
-    /** The instance that lines concern; null where it does not run. */
-    private Instance current;
+    private long currentInstanceId;
+    /** The selected instance, to which subsequent lines apply; null if it is not running. */
+    private Instance currentInstance;
 
     SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new LineReader(in);
@@ -38,16 +38,16 @@
         decoder = new EventDecoder(this.in);
     }
 
-    /** Answers batches until the input ends. */
+    /** Processes batches until the end of input. */
     void run() throws IOException {
         while (in.nextLine()) {
             if (in.isAtLineEnd()) {
                 continue;
             }
-            if (!in.nextWord().equals("sync")) {
+            if (!in.nextToken().equals("sync")) {
                 throw in.malformed("a batch must begin with sync");
             }
-            now = in.nextDecimal(EventDecoder.MILLIS_TO_MICROS, 0);
+            now = in.nextDecimal(EventDecoder.MILLIS_DECIMAL_PLACES, 0);
             handleBatch();
             out.flush();
         }
@@ -61,7 +61,7 @@
             if (in.isAtLineEnd()) {
                 continue;
             }
-            String message = in.nextWord();
+            String message = in.nextToken();
             if (message.equals("go")) {
                 return;
             }
@@ -82,21 +82,21 @@
             case "timeout_fired" -> handle(new TimerFired(in.nextInteger()));
             case "expired" -> handle(new RequestAbandoned(in.nextRequestId()));
             case "established" -> handle(new ResponseStarted(in.nextRequestId()));
-            case "whisper" -> {} // Instances do not talk to each other.
+            case "whisper" -> {} // Instances exchange no messages.
             default -> throw in.malformed("unknown message");
         }
     }
 
     private SettingsCodec settings() {
-        return current == null ? null : current.settings;
+        return currentInstance == null ? null : currentInstance.settings;
     }
 
     private void handle(RoutingEvent event) {
-        if (current == null) {
+        if (currentInstance == null) {
             return;
         }
         try {
-            current.router.handle(now, event, out);
+            currentInstance.router.handle(now, event, out);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             e.printStackTrace();
@@ -105,9 +105,9 @@
     }
 
     private void selectInstance() {
-        currentId = in.nextInteger();
-        current = instances.get(currentId);
-        out.selectInstance(currentId);
+        currentInstanceId = in.nextInteger();
+        currentInstance = instances.get(currentInstanceId);
+        out.selectInstance(currentInstanceId);
     }
 
     private void startInstance() {
@@ -115,16 +115,16 @@
         String config = in.restOfLine();
         try {
             SettingsCodec settings = new SettingsCodec(config);
-            current = new Instance(settings, new Router(settings.routingSettings(), seed));
+            currentInstance = new Instance(settings, new Router(settings.routingSettings(), seed));
         } catch (IllegalArgumentException e) {
             throw in.malformed(e.getMessage());
         }
-        instances.put(currentId, current);
+        instances.put(currentInstanceId, currentInstance);
     }
 
     private void stopInstance() {
-        instances.remove(currentId);
-        current = null;
+        instances.remove(currentInstanceId);
+        currentInstance = null;
     }
 
     private void defineEndpointList() throws IOException {
@@ -135,7 +135,7 @@
         }
         List<Endpoint> endpoints = new ArrayList<>(size);
         for (int i = 0; i < size; i++) {
-            if (!in.nextLine() || !in.nextWord().equals("item")) {
+            if (!in.nextLine() || !in.nextToken().equals("item")) {
                 throw in.malformed("an item is missing");
             }
             endpoints.add(decoder.endpoint());
@@ -147,11 +147,11 @@
     }
 
     private EndpointUpdate endpointUpdate() {
-        EndpointUpdateKind kind = WireWords.UPDATE_KINDS.get(in.nextWord());
+        EndpointUpdateKind kind = WireValues.UPDATE_KINDS.get(in.nextToken());
         if (kind == null) {
             throw in.malformed("unknown kind of list");
         }
-        in.nextWord();
+        in.nextToken();
         int listNumber = (int) in.nextInteger();
         if (kind == EndpointUpdateKind.UNAVAILABLE) {
             return new EndpointUpdate(kind, List.of());
--- a/src/main/java/crankwick/simulator/WireException.java
+++ b/src/main/java/crankwick/simulator/WireException.java
@@ -1,6 +1,6 @@
 package crankwick.simulator;
 
-/** Malformed wire input; the message names the line at fault. */
+/** Malformed input from the simulator; the message contains the line number and the line. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/crankwick/simulator/WireWords.java
+++ b/src/main/java/crankwick/simulator/WireValues.java
@@ -6,9 +6,9 @@
 import crankwick.routing.api.Role;
 import java.util.Map;
 
-/** The words and numbers of the simulator's wire, and what they mean. */
-final class WireWords {
-    /** Results of attempts and health checks. */
+/** Maps the enumeration values of the simulator's protocol to those of the router. */
+final class WireValues {
+    /** The results of attempts and health checks. */
     static final Map<String, AttemptResult> RESULTS = Map.of(
             "Ok",
             AttemptResult.OK,
@@ -42,18 +42,21 @@
     static final Map<String, EndpointStatus> STATUSES =
             Map.of("live", EndpointStatus.LIVE, "quiescing", EndpointStatus.DRAINING, "dead", EndpointStatus.REMOVED);
 
-    private static final int NOTE_ROLE_BITS = 2;
-    private static final Role[] NOTE_ROLES = {Role.UNKNOWN, Role.PRIMARY, Role.REPLICA, Role.UNKNOWN};
+    private static final int ROLE_BITS = 2;
+    private static final Role[] ROLES_BY_CODE = {Role.UNKNOWN, Role.PRIMARY, Role.REPLICA, Role.UNKNOWN};
 
-    private WireWords() {}
+    private WireValues() {}
 
-    /** The role in the note of an attempt's outcome. */
-    static Role roleOfNote(long note) {
-        return NOTE_ROLES[(int) (note & (1 << NOTE_ROLE_BITS) - 1)];
+    /** Decodes the role from the combined role and position of an attempt's outcome. */
+    static Role decodeRole(long roleAndPosition) {
+        return ROLES_BY_CODE[(int) (roleAndPosition & (1 << ROLE_BITS) - 1)];
     }
 
-    /** The position in the note of an attempt's outcome, in milliseconds from the time origin; 0 for none. */
-    static long positionOfNote(long note) {
-        return note >> NOTE_ROLE_BITS;
+    /**
+     * Decodes the position from the combined role and position of an attempt's outcome, in milliseconds from the time
+     * origin; 0 if absent.
+     */
+    static long decodePositionMillis(long roleAndPosition) {
+        return roleAndPosition >> ROLE_BITS;
     }
 }
--- a/src/main/java/crankwick/simulator/package-info.java
+++ b/src/main/java/crankwick/simulator/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The decision module on the simulator's text protocol, many instances in one process.
+ * Connects the router to the simulator's text protocol; one process hosts many router instances.
  */
 package crankwick.simulator;
--- a/src/test/java/crankwick/OuterNamesTest.java
+++ b/src/test/java/crankwick/OuterNamesTest.java
@@ -14,44 +14,44 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the names that other programs know (config/outer-names.txt). A rename in the code that also changes one on the
- * wire, in a setting or in the log breaks those programs without breaking any other test.
+ * Checks that the external names in config/outer-names.txt still occur in the sources or deploy files. A rename that
+ * also changes a name on the wire, in a setting or in the log breaks other programs without failing any other test.
  */
 class OuterNamesTest {
     private static final Path LIST = Path.of("config/outer-names.txt");
     private static final Path SOURCES = Path.of("src/main/java");
     private static final List<Path> DEPLOY_FILES = List.of(Path.of("deploy/balancer.toml"), Path.of("deploy/tds.toml"));
 
-    /** Comments and character literals are matched so that quotes in them do not count. */
+    /** Matches string literals, and also comments and character literals, so that quotes within these are skipped. */
     private static final Pattern TOKEN = Pattern.compile(
             "//[^\n]*|/\\*.*?\\*/|\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\n])*\"|'(?:\\\\.|[^'\\\\])'", Pattern.DOTALL);
 
-    /** The constants of an enum that is declared as ENUM { A, B(..), C { .. }. */
+    /** Captures the constants of an enum: the text up to the first semicolon or closing brace outside a comment. */
     private static final Pattern ENUM_CONSTANTS =
             Pattern.compile("\\benum \\w+[^{]*\\{((?:/\\*.*?\\*/|[^;}])*)", Pattern.DOTALL);
 
     @Test
-    void namesThatLeaveTheProcessAreStillWrittenOut() throws IOException {
+    void externalNamesOccurInSourcesOrDeployFiles() throws IOException {
         List<String> sources = sources();
-        String writtenOut =
+        String literalsAndDeployFiles =
                 sources.stream().map(OuterNamesTest::literals).collect(Collectors.joining("\n")) + "\n" + deployFiles();
         String constants = sources.stream().map(OuterNamesTest::enumConstants).collect(Collectors.joining("\n"));
 
-        List<String> lost = outerNames().stream()
-                .filter(name -> !containsWord(writtenOut, name) && !containsWord(constants, name))
+        List<String> missing = externalNames().stream()
+                .filter(name -> !containsWord(literalsAndDeployFiles, name) && !containsWord(constants, name))
                 .toList();
 
-        assertEquals(List.of(), lost);
+        assertEquals(List.of(), missing);
     }
 
     @Test
-    void theListNamesEachNameOnce() throws IOException {
-        List<String> names = outerNames();
+    void listContainsNoDuplicates() throws IOException {
+        List<String> names = externalNames();
         assertFalse(names.isEmpty());
         assertEquals(names.stream().distinct().toList(), names);
     }
 
-    private static List<String> outerNames() throws IOException {
+    private static List<String> externalNames() throws IOException {
         return Files.readAllLines(LIST).stream()
                 .map(String::strip)
                 .filter(line -> !line.isEmpty() && !line.startsWith("#"))
--- a/src/test/java/crankwick/PackageOrderTest.java
+++ b/src/test/java/crankwick/PackageOrderTest.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Holds the order of the packages that docs/architecture.md states. */
+/** Checks the package dependencies against the layering in docs/architecture.md. */
 class PackageOrderTest {
-    /** What each package may depend on within the project. */
-    private static final Map<String, List<String>> ALLOWED = Map.ofEntries(
+    /** The project packages on which each package may depend. */
+    private static final Map<String, List<String>> ALLOWED_DEPENDENCIES = Map.ofEntries(
             Map.entry("routing.api", List.of()),
             Map.entry("routing", List.of("routing.api")),
             Map.entry("settings", List.of("routing.api")),
@@ -38,8 +38,8 @@
             Map.entry("simulation", List.of("broker", "discovery", "failover", "model", "routing.api")),
             Map.entry("simulator", List.of("routing", "routing.api", "settings")));
 
-    /** Packages that decide: (event, now) in, actions out. */
-    private static final String[] DECIDING = {
+    /** Deterministic packages: their state and actions depend only on the events and times passed to them. */
+    private static final String[] DETERMINISTIC = {
         "crankwick.routing..", "crankwick.failover..", "crankwick.broker..", "crankwick.model.."
     };
 
@@ -48,11 +48,11 @@
             .importPackages("crankwick");
 
     @Test
-    void packagesDependOnlyOnThoseBelow() {
-        ALLOWED.forEach((name, below) -> {
+    void packagesDependOnlyOnAllowedPackages() {
+        ALLOWED_DEPENDENCIES.forEach((name, dependencies) -> {
             List<String> allowed = new ArrayList<>();
             allowed.add("crankwick." + name);
-            below.forEach(other -> allowed.add("crankwick." + other));
+            dependencies.forEach(dependency -> allowed.add("crankwick." + dependency));
             noClasses()
                     .that()
                     .resideInAPackage("crankwick." + name)
@@ -64,10 +64,10 @@
     }
 
     @Test
-    void decidingPackagesHaveNoInputOutputThreadsOrClocks() {
+    void deterministicPackagesUseNoInputOutputThreadsOrClocks() {
         noClasses()
                 .that()
-                .resideInAnyPackage(DECIDING)
+                .resideInAnyPackage(DETERMINISTIC)
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void routingInterfaceIsImmutable() {
+    void routingApiIsImmutable() {
         classes()
                 .that()
                 .resideInAPackage("crankwick.routing.api")
--- a/src/test/java/crankwick/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/crankwick/simulator/SimulatorAdapterTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter and its writer, on every message of the wire. */
+/** Tests the simulator adapter, its reply writer and the settings errors on every message of the protocol. */
 class SimulatorAdapterTest {
     private static String reply(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -24,12 +24,12 @@
     }
 
     @Test
-    void emptyBatchIsAnswered() throws IOException {
+    void emptyBatchIsAnsweredWithReady() throws IOException {
         assertEquals("ready\n", reply("sync 8412.25\ngo\n"));
     }
 
     @Test
-    void everyEventIsUnderstood() throws IOException {
+    void everyMessageIsDecoded() throws IOException {
         String out = reply(WireTranscript.START
                 + "sync 5001\ninstance 0\nknock 00000000000000ff - 4 0 1 - 4 5801.5 77\ngo\n"
                 + "sync 5020\ninstance 0\noutcome 00000000000000ff 1 16079 Ok 18.5 10.0.0.1:1 0 -\n"
@@ -45,17 +45,18 @@
     }
 
     @Test
-    void positionsAreCountedFromTheTimeOrigin() throws IOException {
-        // The commit stands at 1000.5 + 4019 ms; a report of 4.019 s is level with it, 4.018 s is not.
+    void positionsAreRelativeToTheTimeOrigin() throws IOException {
+        // The write commits at position 1000.5 + 4019 ms. A replica that reports 4.019 s has replayed it and may serve
+        // the read; a replica that reports 4.018 s has not.
         String write = WireTranscript.START + "sync 5001\ninstance 0\n"
                 + "knock 00000000000000ff - 4 0 1 - 4 5801.5 77\ngo\nsync 5020\ninstance 0\n"
                 + "outcome 00000000000000ff 1 16077 Ok 18.5 10.0.0.1:1 0 -\ngo\n"
                 + "sync 5045\ninstance 0\ntimeout_fired 5\ngo\n";
         String read = "knock 00000000000000aa - 4 0 0 - 0 6801.5 77\ngo\n";
-        String level = reply(write + "sync 5046\ninstance 0\npong Ok 1 10.0.0.2:1 4.019,0,0,0\n" + read);
-        String behind = reply(write + "sync 5046\ninstance 0\npong Ok 1 10.0.0.2:1 4.018,0,0,0\n" + read);
-        assertTrue(level.contains("route 00000000000000aa 10.0.0.2:1"), level);
-        assertTrue(!behind.contains("route 00000000000000aa"), behind);
+        String caughtUp = reply(write + "sync 5046\ninstance 0\npong Ok 1 10.0.0.2:1 4.019,0,0,0\n" + read);
+        String lagging = reply(write + "sync 5046\ninstance 0\npong Ok 1 10.0.0.2:1 4.018,0,0,0\n" + read);
+        assertTrue(caughtUp.contains("route 00000000000000aa 10.0.0.2:1"), caughtUp);
+        assertTrue(!lagging.contains("route 00000000000000aa"), lagging);
     }
 
     @ParameterizedTest
@@ -73,7 +74,7 @@
                 "sync 1\ninstance 0\nenlist 1 {}\ngo\n",
                 "sync 1\npong Fine 1 a:1 -\ngo\n"
             })
-    void malformedInputNamesItsLine(String input) {
+    void malformedInputErrorContainsTheLineNumber(String input) {
         WireException e = assertThrows(WireException.class, () -> reply(input));
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertEquals(1, e.getMessage().lines().count());
@@ -90,7 +91,7 @@
                 "counted-from-ms",
                 "when-behind"
             })
-    void missingSettingIsNamed(String key) {
+    void errorNamesTheMissingSetting(String key) {
         String config = WireTranscript.CONFIG.replace("\"" + key + "\"", "\"other\"");
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> new SettingsCodec(config));
         assertTrue(e.getMessage().contains(key), e.getMessage());
@@ -112,14 +113,14 @@
                 "report.fields",
                 "rules.ramp-time-ms"
             })
-    void settingOfTheWrongTypeIsNamed(String path) {
+    void errorNamesTheSettingOfTheWrongType(String path) {
         String[] names = path.split("\\.");
         for (String wrongValue : new String[] {"{\"odd\":1}", "[[1],[1]]"}) {
             JsonObject root = JsonParser.parseString(WireTranscript.CONFIG).getAsJsonObject();
-            JsonObject holder = names.length == 1 ? root : root.getAsJsonObject(names[0]);
-            holder.add(names[names.length - 1], JsonParser.parseString(wrongValue));
-            boolean harmless = path.equals("report") && wrongValue.startsWith("{");
-            if (harmless) {
+            JsonObject parent = names.length == 1 ? root : root.getAsJsonObject(names[0]);
+            parent.add(names[names.length - 1], JsonParser.parseString(wrongValue));
+            boolean accepted = path.equals("report") && wrongValue.startsWith("{");
+            if (accepted) {
                 continue;
             }
             IllegalArgumentException e =
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void unknownKindsAndNegativeTimesAreNamed() {
+    void errorNamesTheSettingWithAnUnknownValueOrNegativeTime() {
         for (String[] change : new String[][] {
             {"\"unsafe\"", "\"risky\"", "repeat"},
             {"\"session\"", "\"odd\"", "freshness"},
@@ -143,7 +144,7 @@
     }
 
     @Test
-    void actionsAreWrittenAsTheWireHasThem() throws IOException {
+    void actionsAreWrittenInTheWireFormat() throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ReplyWriter writer = new ReplyWriter(out);
         writer.selectInstance(3);
--- a/src/test/java/crankwick/simulator/SimulatorCommandIT.java
+++ b/src/test/java/crankwick/simulator/SimulatorCommandIT.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Drives the built jar over its standard input and output, as the operators start it. */
+/** Runs {@code simhost} from the built jar with redirected standard input and output. */
 class SimulatorCommandIT {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     private int run(String input) throws IOException, InterruptedException {
-        Path in = Files.writeString(folder.resolve("in"), input);
+        Path in = Files.writeString(directory.resolve("in"), input);
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         return new ProcessBuilder(
                         java,
@@ -35,15 +35,15 @@
     }
 
     private File file(String name) {
-        return folder.resolve(name).toFile();
+        return directory.resolve(name).toFile();
     }
 
     private String read(String name) throws IOException {
-        return Files.readString(folder.resolve(name), StandardCharsets.UTF_8);
+        return Files.readString(directory.resolve(name), StandardCharsets.UTF_8);
     }
 
     @Test
-    void answersATranscriptAndExitsAtTheEndOfInput() throws Exception {
+    void answersTranscriptAndExitsAtEndOfInput() throws Exception {
         int status =
                 run(WireTranscript.START + "sync 5001\ninstance 0\nknock 00000000000000ff - 4 0 1 - 4 5801.5 77\ngo\n");
         assertEquals(0, status, read("err"));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void malformedInputEndsItWithOnePlainLine() throws Exception {
+    void malformedInputExitsWithStatusTwoAndOneErrorLine() throws Exception {
         assertEquals(2, run("sync 1\nnonsense 3\ngo\n"));
         assertEquals("", read("out"));
         assertEquals("line 2: unknown message: nonsense 3\n", read("err"));
--- a/src/test/java/crankwick/simulator/WireTranscript.java
+++ b/src/test/java/crankwick/simulator/WireTranscript.java
@@ -1,6 +1,6 @@
 package crankwick.simulator;
 
-/** A transcript of the wire of this project's own making. */
+/** Hand-written example input in the simulator's protocol. */
 final class WireTranscript {
     static final String CONFIG = "{\"balancers\":2,\"my-zone\":0,\"discovery\":\"ask\",\"unheard-of\":[1],"
             + "\"bounds\":{\"probes\":true,\"may-cancel\":true,\"retry-after\":true,"
