--- a/src/main/java/crankwick/app/LabDrainsCommand.java
+++ b/src/main/java/crankwick/app/LabDrainsCommand.java
@@ -65,9 +65,9 @@
                 TimeUnit.MILLISECONDS.toMicros(timerDelayMillis)));
         PrintWriter out = spec.commandLine().getOut();
         out.println(new Gson().toJson(simulation.run().figures()));
-        if (simulation.violation() != null) {
-            out.println("violation: " + simulation.violation());
+        if (simulation.firstViolation() != null) {
+            out.println("violation: " + simulation.firstViolation());
         }
-        return simulation.violation() == null ? 0 : 1;
+        return simulation.firstViolation() == null ? 0 : 1;
     }
 }
--- a/src/main/java/crankwick/app/LabHandoverCommand.java
+++ b/src/main/java/crankwick/app/LabHandoverCommand.java
@@ -79,8 +79,8 @@
                 defect()));
         Map<String, Object> figures = simulation.run().figures();
         PrintWriter out = spec.commandLine().getOut();
-        if (simulation.violation() != null) {
-            out.println("violation: " + simulation.violation());
+        if (simulation.firstViolation() != null) {
+            out.println("violation: " + simulation.firstViolation());
             out.println("replay: lab handover --groups " + groups + " --failovers " + failovers
                     + " --seed " + seed + (withoutCoordinator ? " --without" : "") + " --hope " + minSuccessProbability
                     + " --fault "
@@ -92,7 +92,7 @@
             figures.forEach((name, value) -> out.println(name + " " + value));
         }
         out.flush();
-        return simulation.violation() == null ? 0 : 1;
+        return simulation.firstViolation() == null ? 0 : 1;
     }
 
     private FailoverSimulation.Defect defect() {
--- a/src/main/java/crankwick/simulation/DrainSimulation.java
+++ b/src/main/java/crankwick/simulation/DrainSimulation.java
@@ -38,7 +38,7 @@
     private final PolledDiscovery discovery;
     private final List<WatchingProxy> proxies = new ArrayList<>();
     private long receivedLate;
-    private String violation;
+    private String firstViolation;
 
     /** Prepares a run. */
     public DrainSimulation(Options options) {
@@ -75,8 +75,8 @@
     }
 
     /** The first drain that was known too late; null if none was. */
-    public String violation() {
-        return violation;
+    public String firstViolation() {
+        return firstViolation;
     }
 
     private void pass(long duration) {
@@ -108,8 +108,8 @@
     private void check(WatchingProxy proxy, long drain) {
         if (proxy.version() < drain) {
             receivedLate++;
-            violation = violation != null
-                    ? violation
+            firstViolation = firstViolation != null
+                    ? firstViolation
                     : "proxy " + proxy.number() + " has not heard of drain " + drain + " in time";
         }
     }
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -123,7 +123,7 @@
     }
 
     /** The first violation with its trace; null for none. */
-    public String violation() {
+    public String firstViolation() {
         return audit.firstViolation();
     }
 
--- a/src/test/java/crankwick/discovery/EndpointWatchTest.java
+++ b/src/test/java/crankwick/discovery/EndpointWatchTest.java
@@ -30,7 +30,7 @@
     public void everyDrainIsHeardInTime(int proxies, int seed) {
         DrainSimulation lab = lab(proxies, seed, 0);
         Map<String, Object> figures = lab.run().figures();
-        assertNull(lab.violation(), lab.violation());
+        assertNull(lab.firstViolation(), lab.firstViolation());
         assertEquals(figures.get("heard_late"), 0L);
         assertEquals(figures.get("not_heard"), 0L);
         double perSecond = (double) figures.get("calls_per_proxy_s");
@@ -42,7 +42,7 @@
     public void lateTimersAreFound() {
         DrainSimulation lab = lab(120, 5, 5 * SECOND);
         assertTrue((long) lab.run().figures().get("heard_late") > 0);
-        assertNotNull(lab.violation());
+        assertNotNull(lab.firstViolation());
     }
 
     /** Notes what is asked for, and the calls that are ended as negative numbers. */
--- a/src/test/java/crankwick/simulation/FailoverSimulationTest.java
+++ b/src/test/java/crankwick/simulation/FailoverSimulationTest.java
@@ -35,7 +35,7 @@
     public void noFailoverBreaksARuleAndMostReachableWritesAreServed(int seed) {
         FailoverSimulation simulation = simulation(120, seed, true, Defect.NONE);
         FailoverReport report = simulation.run();
-        assertNull(simulation.violation(), simulation.violation());
+        assertNull(simulation.firstViolation(), simulation.firstViolation());
         String figures = report.figures().toString();
         assertEquals(report.audit().totalViolations(), 0L);
         assertTrue(report.audit().failovers() >= 120, figures);
@@ -60,7 +60,7 @@
         FailoverSimulation simulation = simulation(200, 1, true, defect);
         FailoverReport report = simulation.run();
         String figures = report.figures().toString();
-        assertNotNull(simulation.violation());
+        assertNotNull(simulation.firstViolation());
         assertTrue(report.audit().count(expected) > 0, figures);
         assertTrue(report.audit().failoversBeforeViolation() < 200, figures);
     }
