--- a/src/main/java/crankwick/app/LabCommand.java
+++ b/src/main/java/crankwick/app/LabCommand.java
@@ -8,7 +8,7 @@
 /** {@code lab}: deterministic simulations. */
 @Command(
         name = "lab",
-        description = "Experiments in simulated time.",
+        description = "Runs deterministic simulations.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class,
         subcommands = {LabHandoverCommand.class, LabDrainsCommand.class})
@@ -20,7 +20,7 @@
     public void run() {
         throw new ParameterException(
                 spec.commandLine(),
-                "an experiment is wanted: "
+                "missing simulation; expected one of: "
                         + String.join(", ", spec.subcommands().keySet()));
     }
 }
--- a/src/main/java/crankwick/app/LabDrainsCommand.java
+++ b/src/main/java/crankwick/app/LabDrainsCommand.java
@@ -13,8 +13,8 @@
 /** {@code lab drains}: simulates a fleet's watches of an unreliable discovery. */
 @Command(
         name = "drains",
-        description = "Plays a fleet's watches before one discovery that falls silent, "
-                + "resets and goes down, and checks that every drain is heard in time. Exit code 1 if not.",
+        description = "Simulates a fleet's watches of one discovery that stalls or resets connections and becomes "
+                + "unavailable, and checks that every proxy is notified of each drain in time. Exit code 1 if not.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class)
 final class LabDrainsCommand implements Callable<Integer> {
@@ -22,30 +22,36 @@
     private static final int MAX_ROUNDS = 10_000;
     private static final int MAX_DELAY_MILLIS = 60_000;
 
-    @Option(names = "--proxies", defaultValue = "100", description = "1 to 1024; default " + "${DEFAULT-VALUE}.")
+    @Option(
+            names = "--proxies",
+            defaultValue = "100",
+            description = "Size of the fleet, 1 to 1024; default ${DEFAULT-VALUE}.")
     private int proxies;
 
     @Option(
             names = "--rounds",
             defaultValue = "100",
-            description = "Troubles with a drain each, 1 to " + "10000; default ${DEFAULT-VALUE}.")
+            description = "Number of faults, each followed by a drain, 1 to 10000; default ${DEFAULT-VALUE}.")
     private int rounds;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "The same seed gives the same run; default ${DEFAULT-VALUE}.")
     private long seed;
 
     @Option(
             names = "--turn-ms",
             defaultValue = "1900",
-            description =
-                    "How long discovery takes to " + "answer all proxies once, 0 to 60000; default ${DEFAULT-VALUE}.")
-    private long responseMillis;
+            description = "How long discovery takes to answer one call of every proxy, 0 to 60000 ms; "
+                    + "default ${DEFAULT-VALUE}.")
+    private long fullCycleMillis;
 
     @Option(
             names = "--late-ms",
             defaultValue = "0",
-            description = "How late each timer is, 0 to 60000: "
-                    + "shows that the check finds what it is for; default ${DEFAULT-VALUE}.")
+            description = "Delay of each timer, 0 to 60000 ms; a large delay is a deliberate defect that the check "
+                    + "must detect; default ${DEFAULT-VALUE}.")
     private long timerDelayMillis;
 
     @Spec
@@ -55,13 +61,13 @@
     public Integer call() {
         Commands.requireRange(spec, "--proxies", proxies, 1, MAX_PROXIES);
         Commands.requireRange(spec, "--rounds", rounds, 1, MAX_ROUNDS);
-        Commands.requireRange(spec, "--turn-ms", responseMillis, 0, MAX_DELAY_MILLIS);
+        Commands.requireRange(spec, "--turn-ms", fullCycleMillis, 0, MAX_DELAY_MILLIS);
         Commands.requireRange(spec, "--late-ms", timerDelayMillis, 0, MAX_DELAY_MILLIS);
         DrainSimulation simulation = new DrainSimulation(new DrainSimulation.Options(
                 proxies,
                 rounds,
                 seed,
-                TimeUnit.MILLISECONDS.toMicros(responseMillis),
+                TimeUnit.MILLISECONDS.toMicros(fullCycleMillis),
                 TimeUnit.MILLISECONDS.toMicros(timerDelayMillis)));
         PrintWriter out = spec.commandLine().getOut();
         out.println(new Gson().toJson(simulation.run().figures()));
--- a/src/main/java/crankwick/app/LabHandoverCommand.java
+++ b/src/main/java/crankwick/app/LabHandoverCommand.java
@@ -16,8 +16,8 @@
 /** {@code lab handover}: simulates failovers by seed. */
 @Command(
         name = "handover",
-        description = "Runs changes of primaries of all kinds under load, and checks "
-                + "each step. Exit code 1 on any violation, with its trace.",
+        description = "Simulates planned and unplanned failovers under load and checks every step. "
+                + "Prints the first violation with its trace; exit code 1 on any violation.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class)
 final class LabHandoverCommand implements Callable<Integer> {
@@ -27,39 +27,39 @@
     @Option(
             names = "--groups",
             defaultValue = "4",
-            description = "Groups of three databases, 1 to 1000; " + "default ${DEFAULT-VALUE}.")
+            description = "Number of groups of three databases, 1 to 1000; default ${DEFAULT-VALUE}.")
     private int groups;
 
     @Option(
             names = "--failovers",
             defaultValue = "500",
-            description = "Changes of leader, 1 to 1000000; " + "default ${DEFAULT-VALUE}.")
+            description = "Number of failovers after which the run ends, 1 to 1000000; default ${DEFAULT-VALUE}.")
     private int failovers;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "The same seed gives the same run; " + "default ${DEFAULT-VALUE}.")
+            description = "The same seed gives the same run; default ${DEFAULT-VALUE}.")
     private long seed;
 
-    @Option(names = "--json", description = "One JSON object as the last line.")
+    @Option(names = "--json", description = "Print the figures as one JSON object on the last line.")
     private boolean json;
 
-    @Option(names = "--without", description = "Leave changes to the router, as earlier versions.")
+    @Option(names = "--without", description = "Run without the failover coordinator, as earlier versions did.")
     private boolean withoutCoordinator;
 
     @Option(
             names = "--hope",
             defaultValue = "0.05",
             description =
-                    "The least chance of being served " + "that lets a request wait, 0 to 1; default ${DEFAULT-VALUE}.")
+                    "Minimum probability of success for a request to be buffered, 0 to 1; default ${DEFAULT-VALUE}.")
     private double minSuccessProbability;
 
     @Option(
             names = "--fault",
             defaultValue = "none",
-            description = "A deliberate defect, which must be "
-                    + "found: resend-after-window, late-list-believed, held-sent-twice, release-without-pace; "
+            description = "A deliberate defect that the audit must detect: "
+                    + "resend-after-window, late-list-believed, held-sent-twice, release-without-pace; "
                     + "default ${DEFAULT-VALUE}.")
     private String defectName;
 
@@ -70,7 +70,8 @@
     public Integer call() {
         Commands.requireRange(spec, "--groups", groups, 1, MAX_GROUPS);
         Commands.requireRange(spec, "--failovers", failovers, 1, MAX_FAILOVERS);
-        Commands.require(spec, minSuccessProbability >= 0 && minSuccessProbability <= 1, "--hope takes 0 to 1");
+        Commands.require(
+                spec, minSuccessProbability >= 0 && minSuccessProbability <= 1, "--hope must be between 0 and 1");
         FailoverSimulation simulation = new FailoverSimulation(new FailoverSimulation.Options(
                 groups,
                 failovers,
@@ -100,7 +101,7 @@
             return FailoverSimulation.Defect.valueOf(
                     defectName.toUpperCase(Locale.ROOT).replace('-', '_'));
         } catch (IllegalArgumentException e) {
-            throw new ParameterException(spec.commandLine(), "--fault: there is no " + defectName, e);
+            throw new ParameterException(spec.commandLine(), "--fault: unknown defect " + defectName, e);
         }
     }
 }
--- a/src/main/java/crankwick/simulation/AuditSummary.java
+++ b/src/main/java/crankwick/simulation/AuditSummary.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What the audit has counted in a run.
+ * Results of the {@link FailoverAudit} of a run.
  *
- * @param failovers changes of leaders
- * @param keys idempotency keys that were used
- * @param violations counts by kind; kinds that did not occur may be missing
- * @param failoversBeforeViolation before the first violation; -1 for no violation
- * @param rejectedWrites rejected requests that were writes
- * @param meanRejectionWaitMillis how long these had waited
- * @param reasons rejected and failed requests by reason
+ * @param failovers elections of a leader other than the previous one
+ * @param keys distinct idempotency keys in requests
+ * @param violations counts by kind; kinds without a violation may be absent
+ * @param failoversBeforeViolation failovers before the first violation; -1 without a violation
+ * @param rejectedWrites rejected writes
+ * @param meanRejectionWaitMillis mean time from receipt to rejection of these writes
+ * @param reasons counts of rejected and failed requests by reason
  */
 record AuditSummary(
         long failovers,
--- a/src/main/java/crankwick/simulation/AuditTrace.java
+++ b/src/main/java/crankwick/simulation/AuditTrace.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** The last lines of a run, and the excerpt of them that concerns one request, its key and its group. */
+/** A bounded trace of a run, with excerpts that concern one request, its idempotency key and its group. */
 final class AuditTrace {
-    /** The request id of a line that concerns the whole group. */
-    static final long WHOLE_GROUP = -1;
+    /** The request id of a line that concerns a whole group. */
+    static final long GROUP_REQUEST_ID = -1;
 
     private static final int MAX_LINES = 20_000;
     private static final int MAX_EXCERPT_LINES = 40;
 
-    private record Line(long at, int group, long requestId, String text) {}
+    private record Line(long time, int group, long requestId, String text) {}
 
     private final ArrayDeque<Line> lines = new ArrayDeque<>();
-    /** The idempotency keys of the last requests. */
-    private final Map<Long, String> keys = new LinkedHashMap<>() {
+    /** The idempotency keys of the most recent requests. */
+    private final Map<Long, String> keysByRequestId = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
@@ -28,7 +28,7 @@
         }
     };
 
-    /** Adds a line about a request, or about the {@link #WHOLE_GROUP}. */
+    /** Adds a line about a request, or about a whole group with {@link #GROUP_REQUEST_ID}. */
     void add(long now, int group, long requestId, String text) {
         lines.add(new Line(now, group, requestId, text));
         if (lines.size() > MAX_LINES) {
@@ -37,10 +37,10 @@
     }
 
     void addKey(long requestId, String key) {
-        keys.put(requestId, key);
+        keysByRequestId.put(requestId, key);
     }
 
-    /** The last lines about a request and its group, and about a key where that is not null. */
+    /** Returns the most recent lines about a request, its group and, unless null, an idempotency key. */
     String excerpt(int group, long requestId, String key) {
         List<Line> relevant = lines.stream()
                 .filter(line -> line.group == group)
@@ -49,12 +49,12 @@
                 .toList();
         StringBuilder text = new StringBuilder();
         for (Line line : relevant.subList(Math.max(0, relevant.size() - MAX_EXCERPT_LINES), relevant.size())) {
-            text.append(String.format("  %12.3f ms  %s%n", line.at / (double) MILLIS, line.text));
+            text.append(String.format("  %12.3f ms  %s%n", line.time / (double) MILLIS, line.text));
         }
         return text.toString();
     }
 
     private boolean concernsKey(Line line, String key) {
-        return line.text.contains(key + " ") || key.equals(keys.get(line.requestId));
+        return line.text.contains(key + " ") || key.equals(keysByRequestId.get(line.requestId));
     }
 }
--- a/src/main/java/crankwick/simulation/AuditedGroup.java
+++ b/src/main/java/crankwick/simulation/AuditedGroup.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** A group, as the audit follows its leaders and the writes that meet a change of them. */
+/** Audit state of a group: its leader, and the writes affected by the latest loss of a leader. */
 final class AuditedGroup {
     private final Map<Long, AuditedRequest> openWrites = new HashMap<>();
     private final List<AuditedRequest> affectedWrites = new ArrayList<>();
     private boolean leaderless;
-    private boolean planned;
-    private long leaderLosses;
+    private boolean lastLossPlanned;
+    private long leaderLossCount;
     private String leader;
     private String servingEndpoint;
 
@@ -26,54 +26,55 @@
         openWrites.remove(request.requestId());
     }
 
-    void loseLeader(boolean drains) {
+    void onLeaderLost(boolean plannedLoss) {
         affectedWrites.clear();
         affectedWrites.addAll(openWrites.values());
         leaderless = true;
         leader = null;
-        planned = drains;
+        lastLossPlanned = plannedLoss;
         servingEndpoint = null;
-        leaderLosses++;
+        leaderLossCount++;
     }
 
-    void elect(String endpointId) {
+    void onLeaderElected(String endpointId) {
         leader = endpointId;
         leaderless = false;
     }
 
-    /** How many times the group has lost its leader. */
-    long leaderLosses() {
-        return leaderLosses;
+    /** How often the group has lost its leader. */
+    long leaderLossCount() {
+        return leaderLossCount;
     }
 
-    boolean isLedSince(long losses) {
-        return leaderLosses == losses && !leaderless;
+    /** Whether the group has a leader and has not lost one since {@link #leaderLossCount} had this value. */
+    boolean hasStableLeaderSince(long expectedLossCount) {
+        return leaderLossCount == expectedLossCount && !leaderless;
     }
 
     /** Whether the last loss of a leader was planned. */
-    boolean isPlanned() {
-        return planned;
+    boolean isLastLossPlanned() {
+        return lastLossPlanned;
     }
 
-    /** The writes that were open, or came in, while there was no leader; they are affected no longer. */
-    List<AuditedRequest> takeAffectedWrites() {
-        List<AuditedRequest> taken = List.copyOf(affectedWrites);
+    /** Removes and returns the writes that were open when the leader was lost or received while there was none. */
+    List<AuditedRequest> removeAffectedWrites() {
+        List<AuditedRequest> removed = List.copyOf(affectedWrites);
         affectedWrites.clear();
-        return taken;
+        return removed;
     }
 
-    /** A member has served a write, as the proxy knows from its answer. */
-    void recordServing(String endpointId) {
+    /** The proxy has received the response of a member that served a write. */
+    void recordServedWrite(String endpointId) {
         if (endpointId.equals(leader)) {
             servingEndpoint = endpointId;
         }
     }
 
-    void forgetServing() {
+    void clearServingEndpoint() {
         servingEndpoint = null;
     }
 
-    /** Who has served a write under the present leader, as the proxy knows; null for nobody. */
+    /** The current leader if the proxy has received its response to a served write; null otherwise. */
     String servingEndpoint() {
         return servingEndpoint;
     }
--- a/src/main/java/crankwick/simulation/AuditedRequest.java
+++ b/src/main/java/crankwick/simulation/AuditedRequest.java
@@ -1,6 +1,6 @@
 package crankwick.simulation;
 
-/** A client's request, as the audit follows it. */
+/** Audit state of a client's request. */
 final class AuditedRequest {
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -8,7 +8,7 @@
         OPEN,
         SERVED,
         NOT_SERVED,
-        /** The proxy's process ended under it. */
+        /** The proxy process ended before the reply. */
         LOST
     }
 
@@ -21,10 +21,10 @@
     private boolean inFlight;
     private String endpointId;
     private long sentAt;
-    private long mayHaveRunSince = NEVER;
+    private long mayHaveExecutedSince = NEVER;
     private Reachability reachability = Reachability.UNKNOWN;
 
-    /** A request that is open; {@code idempotencyKey} is null for a read. */
+    /** Creates an open request; {@code idempotencyKey} is null for a read. */
     AuditedRequest(long requestId, int group, String idempotencyKey, long receivedAt, long deadline) {
         this.requestId = requestId;
         this.group = group;
@@ -57,7 +57,7 @@
         return deadline;
     }
 
-    boolean isAnswered() {
+    boolean isClosed() {
         return state != State.OPEN;
     }
 
@@ -69,11 +69,11 @@
         return state == State.LOST;
     }
 
-    void answer(boolean served) {
+    void recordReply(boolean served) {
         state = served ? State.SERVED : State.NOT_SERVED;
     }
 
-    void lose() {
+    void markLost() {
         state = State.LOST;
     }
 
@@ -81,7 +81,7 @@
         return inFlight;
     }
 
-    /** Where its last attempt was sent. */
+    /** The endpoint of the last attempt. */
     String endpointId() {
         return endpointId;
     }
@@ -92,27 +92,27 @@
         sentAt = now;
     }
 
-    void endAttempt(boolean mayHaveRun) {
+    void endAttempt(boolean mayHaveExecuted) {
         inFlight = false;
-        if (mayHaveRun && mayHaveRunSince == NEVER) {
-            mayHaveRunSince = sentAt;
+        if (mayHaveExecuted && mayHaveExecutedSince == NEVER) {
+            mayHaveExecutedSince = sentAt;
         }
     }
 
-    /** Whether an attempt that has ended without a result may have been executed. */
-    boolean mayHaveRun() {
-        return mayHaveRunSince != NEVER;
+    /** Whether an attempt that ended without success may have been executed. */
+    boolean mayHaveExecuted() {
+        return mayHaveExecutedSince != NEVER;
     }
 
-    /** Whether its key may be forgotten by some time, since an attempt may have run before. */
+    /** Whether an earlier attempt may have been executed and the TTL of its key has ended at the given time. */
     boolean isKeyExpired(long ttl, long at) {
-        return mayHaveRun() && at >= mayHaveRunSince + ttl;
+        return mayHaveExecuted() && at >= mayHaveExecutedSince + ttl;
     }
 
-    /** The same at a change of leaders, where an attempt out at another member than the new leader counts too. */
+    /** Like {@link #isKeyExpired}, but also counts an attempt in flight to a member other than the new leader. */
     boolean isKeyExpiredAtFailover(String leader, long electedAt, long ttl, long at) {
-        boolean outElsewhere = inFlight && !endpointId.equals(leader) && sentAt < electedAt;
-        long since = Math.min(mayHaveRunSince, outElsewhere ? sentAt : NEVER);
+        boolean inFlightElsewhere = inFlight && !endpointId.equals(leader) && sentAt < electedAt;
+        long since = Math.min(mayHaveExecutedSince, inFlightElsewhere ? sentAt : NEVER);
         return since != NEVER && since + ttl < at;
     }
 
--- a/src/main/java/crankwick/simulation/DrainSimulation.java
+++ b/src/main/java/crankwick/simulation/DrainSimulation.java
@@ -7,44 +7,45 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet of endpoint watches before one discovery, in simulated time by seed: watches fall silent or are reset
- * together, discovery goes down and comes back to callers that it takes in turn, and databases begin to drain
- * around it. Checked is that every proxy knows of each drain before it must be honoured.
+ * Simulates a fleet of endpoint watches that poll one discovery service, with faults drawn by seed: the connections
+ * of all watches stall or are reset at once, discovery becomes unavailable and then has to work through a queue of
+ * calls, and databases start to drain meanwhile. Checks that every proxy is notified of each drain before the end of
+ * its drain grace.
  */
 public final class DrainSimulation {
     private static final long START_MICROS = 1_000 * SECONDS;
     private static final long WARM_UP_MICROS = 8 * SECONDS;
     private static final long MAX_OUTAGE_MICROS = 3 * SECONDS;
-    private static final long MAX_PAUSE_BEFORE_DRAIN_MICROS = 2 * SECONDS;
+    private static final long MAX_DELAY_BEFORE_DRAIN_MICROS = 2 * SECONDS;
     private static final long ROUND_MICROS = 12 * SECONDS;
-    /** From a drain that is known to the last send to that database. */
+    /** How long a proxy may still send to a draining database once the drain takes effect. */
     private static final long DRAIN_GRACE_MICROS = 2 * SECONDS;
 
     private static final long INITIAL_VERSION = 41;
 
     /**
-     * What to run.
+     * Options of a run.
      *
-     * @param proxies how many there are, from 1
-     * @param rounds faults, each with a drain, from 1
-     * @param fleetTurnMicros how long discovery takes to answer all proxies once
-     * @param timerDelayMicros how late each timer of a proxy is: a deliberate defect where it is large
+     * @param proxies size of the fleet, at least 1
+     * @param rounds number of faults, each followed by a drain, at least 1
+     * @param fullCycleMicros how long discovery takes to answer one call of every proxy
+     * @param timerDelayMicros delay of each timer of a proxy; a large delay is a deliberate defect
      */
-    public record Options(int proxies, int rounds, long seed, long fleetTurnMicros, long timerDelayMicros) {}
+    public record Options(int proxies, int rounds, long seed, long fullCycleMicros, long timerDelayMicros) {}
 
     private final Options options;
     private final SimulatedClock clock = new SimulatedClock(START_MICROS);
     private final SplittableRandom random;
     private final PolledDiscovery discovery;
     private final List<WatchingProxy> proxies = new ArrayList<>();
-    private long receivedLate;
+    private long lateNotifications;
     private String firstViolation;
 
     /** Prepares a run. */
     public DrainSimulation(Options options) {
         this.options = options;
         random = new SplittableRandom(options.seed());
-        discovery = new PolledDiscovery(clock, options.fleetTurnMicros() / options.proxies(), INITIAL_VERSION);
+        discovery = new PolledDiscovery(clock, options.fullCycleMicros() / options.proxies(), INITIAL_VERSION);
         for (int i = 0; i < options.proxies(); i++) {
             proxies.add(new WatchingProxy(i, clock, discovery, options.timerDelayMicros(), random.nextLong()));
         }
@@ -53,64 +54,65 @@
     /** Runs all rounds. */
     public DrainReport run() {
         proxies.forEach(WatchingProxy::start);
-        pass(WARM_UP_MICROS);
+        advance(WARM_UP_MICROS);
         for (int round = 0; round < options.rounds(); round++) {
             if (round % 3 == 2) {
                 resetConnections(round % 2 == 0);
             } else {
-                proxies.forEach(WatchingProxy::fallSilent);
+                proxies.forEach(WatchingProxy::stallConnection);
             }
-            pass(random.nextLong(1, MAX_PAUSE_BEFORE_DRAIN_MICROS));
-            beginDrain();
-            pass(ROUND_MICROS);
+            advance(random.nextLong(1, MAX_DELAY_BEFORE_DRAIN_MICROS));
+            startDrain();
+            advance(ROUND_MICROS);
         }
         return new DrainReport(
                 options.proxies(),
                 options.rounds(),
-                receivedLate,
+                lateNotifications,
                 proxies.stream()
                         .filter(proxy -> proxy.version() < discovery.version())
                         .count(),
                 discovery.calls() / (double) options.proxies() / ((clock.now() - START_MICROS) / (double) SECONDS));
     }
 
-    /** The first drain that was known too late; null if none was. */
+    /** The first drain of which a proxy was notified late or not at all; null if there was none. */
     public String firstViolation() {
         return firstViolation;
     }
 
-    private void pass(long duration) {
-        boolean[] over = {false};
-        clock.scheduleAfter(duration, () -> over[0] = true);
-        while (!over[0]) {
+    private void advance(long duration) {
+        boolean[] elapsed = {false};
+        clock.scheduleAfter(duration, () -> elapsed[0] = true);
+        while (!elapsed[0]) {
             clock.runNext();
         }
     }
 
-    /** Held calls are reset together; discovery may stay down for a while. */
-    private void resetConnections(boolean goesDown) {
-        proxies.forEach(WatchingProxy::resetHeldCall);
-        discovery.setDown(goesDown);
-        pass(random.nextLong(1, MAX_OUTAGE_MICROS));
+    /** Resets all pending long polls at once, with an outage of discovery if {@code withOutage}. */
+    private void resetConnections(boolean withOutage) {
+        proxies.forEach(WatchingProxy::resetPendingPoll);
+        discovery.setDown(withOutage);
+        advance(random.nextLong(1, MAX_OUTAGE_MICROS));
         discovery.setDown(false);
     }
 
-    /** A database begins to drain: open watches receive that at once, the others when the rules say. */
-    private void beginDrain() {
+    /** Starts a drain, and schedules the check of each proxy at the end of the drain grace. */
+    private void startDrain() {
         discovery.publishNextVersion();
         long drain = discovery.version();
         for (WatchingProxy proxy : proxies) {
-            clock.schedule(proxy.drainKnownAt() + DRAIN_GRACE_MICROS, () -> check(proxy, drain));
-            proxy.onPublished();
+            clock.schedule(proxy.drainEffectiveAt() + DRAIN_GRACE_MICROS, () -> checkNotified(proxy, drain));
+            proxy.onVersionPublished();
         }
     }
 
-    private void check(WatchingProxy proxy, long drain) {
+    private void checkNotified(WatchingProxy proxy, long drain) {
         if (proxy.version() < drain) {
-            receivedLate++;
+            lateNotifications++;
             firstViolation = firstViolation != null
                     ? firstViolation
-                    : "proxy " + proxy.number() + " has not heard of drain " + drain + " in time";
+                    : "proxy " + proxy.number() + " was not notified of drain " + drain
+                            + " before the end of the drain grace";
         }
     }
 }
--- a/src/main/java/crankwick/simulation/FailoverAudit.java
+++ b/src/main/java/crankwick/simulation/FailoverAudit.java
@@ -10,20 +10,20 @@
 import java.util.Map;
 
 /**
- * Checks a run after every step, from outside: it sees the requests and replies of clients, what was sent to
- * databases, what the groups' logs hold, and the endpoints that the proxy was given; it asks the proxy nothing.
+ * Checks a run at every step without querying the proxy: the audit sees client requests and replies, attempts sent
+ * to databases, changes to the groups' logs, and the endpoints published to the proxy.
  *
- * <p>A write counts as reachable if it was open or came in while its group had no leader, its deadline lies
- * {@link #RECOVERY_MARGIN_MICROS} or more past the moment at which the group took writes again for at least that
- * long, and no attempt of it may have run at a time that puts the end of its key's TTL before that moment.
- * Writes to a new primary that is still warming up are counted apart.
+ * <p>A group has recovered {@link #RECOVERY_MARGIN_MICROS} after an election if it has accepted writes since. A write
+ * counts as reachable if it was open or received while its group had no leader, its deadline is not before the
+ * recovery, and it has no attempt that may have been executed and whose key TTL ends before the recovery.
+ * Writes to a new primary that is still warming up are counted separately.
  */
 final class FailoverAudit {
-    /** For finding the new primary and for the write itself. */
+    /** Time for detecting the new primary and executing the write. */
     static final long RECOVERY_MARGIN_MICROS = 250_000;
 
-    /** The request id of a trace line about a key alone. */
-    private static final long KEY_LINE = 0;
+    /** The request id of a trace line that concerns only an idempotency key. */
+    private static final long KEY_REQUEST_ID = 0;
 
     private static final class AuditedKey {
         int timesApplied;
@@ -31,12 +31,12 @@
     }
 
     /**
-     * What the audit holds a run to; times in microseconds.
+     * The limits that a run must observe; times in microseconds.
      *
-     * @param replySlack how long past a request's deadline its reply may come
-     * @param drainGrace how long an endpoint that is listed as draining may still be sent requests
-     * @param keyTtl how long databases remember an idempotency key
-     * @param maxReleased requests that may be released at once to a new primary
+     * @param replySlack how long after a request's deadline its reply may be sent
+     * @param drainGrace how long attempts may still be sent to an endpoint after it was published as draining
+     * @param keyTtl how long databases keep an idempotency key for deduplication
+     * @param maxReleased maximum number of buffered requests released to a new primary at once
      */
     record Limits(long replySlack, long drainGrace, long keyTtl, int maxReleased) {}
 
@@ -66,7 +66,7 @@
 
     /** Adds a line about a whole group to the trace. */
     void trace(long now, int group, String text) {
-        trace.add(now, group, AuditTrace.WHOLE_GROUP, text);
+        trace.add(now, group, AuditTrace.GROUP_REQUEST_ID, text);
     }
 
     // ---- Clients -------------------------------------------------------------------------------------
@@ -76,7 +76,7 @@
         requests.put(requestId, request);
         if (key != null) {
             trace.addKey(requestId, key);
-            trace.add(now, group, requestId, "request with " + key);
+            trace.add(now, group, requestId, "received with idempotency key " + key);
             groups[group].open(request);
             keys.computeIfAbsent(key, k -> new AuditedKey());
         }
@@ -84,15 +84,24 @@
 
     void onReply(long now, long requestId, Reply reply) {
         AuditedRequest request = requests.get(requestId);
-        if (request == null || request.isAnswered()) {
+        if (request == null || request.isClosed()) {
             violations.add(
-                    Violation.LATE_REPLY, now, request == null ? 0 : request.group(), requestId, "a second answer");
+                    Violation.LATE_REPLY,
+                    now,
+                    request == null ? 0 : request.group(),
+                    requestId,
+                    "reply to a request that is already closed");
             return;
         }
-        trace.add(now, request.group(), requestId, "answered " + reply);
-        request.answer(reply instanceof Reply.Served);
+        trace.add(now, request.group(), requestId, "replied " + reply);
+        request.recordReply(reply instanceof Reply.Served);
         if (now > request.deadline() + limits.replySlack()) {
-            violations.add(Violation.LATE_REPLY, now, request.group(), requestId, "answered late");
+            violations.add(
+                    Violation.LATE_REPLY,
+                    now,
+                    request.group(),
+                    requestId,
+                    "reply sent after the deadline and the reply slack");
         }
         if (reply instanceof Reply.Served) {
             onServed(now, request);
@@ -117,7 +126,7 @@
                         now,
                         request.group(),
                         request.requestId(),
-                        "served, applied " + key.timesApplied + " times");
+                        "write served but applied " + key.timesApplied + " times");
             }
         }
     }
@@ -130,13 +139,13 @@
         }
         rejectionWaitMicros += now - request.receivedAt();
         rejectedWrites++;
-        if (request.mayHaveRun()) {
+        if (request.mayHaveExecuted()) {
             violations.add(
                     Violation.REJECTED_IN_DOUBT,
                     now,
                     request.group(),
                     request.requestId(),
-                    "rejected, and may have been executed");
+                    "write rejected although it may have been executed");
         }
     }
 
@@ -149,27 +158,27 @@
 
     List<AuditedRequest> openRequests() {
         return List.copyOf(requests.values()).stream()
-                .filter(request -> !request.isAnswered())
+                .filter(request -> !request.isClosed())
                 .toList();
     }
 
     // ---- The proxy -----------------------------------------------------------------------------------
 
-    /** The proxy's process has ended: a new one does not know who serves writes. */
+    /** The proxy process has ended; a new process does not know which members serve writes. */
     void onProxyEnded() {
         for (AuditedGroup group : groups) {
-            group.forgetServing();
+            group.clearServingEndpoint();
         }
     }
 
-    /** The proxy's process has ended under a request. */
+    /** The proxy process has ended before replying to a request. */
     void onRequestLost(AuditedRequest request) {
-        request.lose();
+        request.markLost();
         close(request);
     }
 
-    /** The proxy was given an endpoint. */
-    void onListed(long now, String endpointId, boolean draining) {
+    /** An endpoint was published to the proxy. */
+    void onEndpointPublished(long now, String endpointId, boolean draining) {
         if (draining) {
             drainingSince.putIfAbsent(endpointId, now);
         } else {
@@ -177,11 +186,15 @@
         }
     }
 
-    /** So many buffered requests were released in the step that found a new leader. */
+    /** The proxy released {@code count} buffered requests in the step in which it detected a failover. */
     void onReleased(long now, int count) {
         if (count > limits.maxReleased()) {
             violations.add(
-                    Violation.RELEASED_TOO_MANY, now, 0, AuditTrace.WHOLE_GROUP, count + " requests released at once");
+                    Violation.RELEASE_LIMIT_EXCEEDED,
+                    now,
+                    0,
+                    AuditTrace.GROUP_REQUEST_ID,
+                    count + " buffered requests released at once");
         }
     }
 
@@ -190,10 +203,15 @@
     void onAttemptSent(long now, long requestId, String endpointId) {
         AuditedRequest request = requests.get(requestId);
         if (request == null) {
-            violations.add(Violation.CONCURRENT_ATTEMPTS, now, 0, requestId, "sent after its answer");
+            violations.add(
+                    Violation.CONCURRENT_ATTEMPTS,
+                    now,
+                    0,
+                    requestId,
+                    "attempt sent for a request that is already closed");
             return;
         }
-        trace.add(now, request.group(), requestId, "sent to " + endpointId);
+        trace.add(now, request.group(), requestId, "attempt sent to " + endpointId);
         checkAttempt(now, request, endpointId);
         request.startAttempt(endpointId, now);
     }
@@ -201,23 +219,38 @@
     private void checkAttempt(long now, AuditedRequest request, String endpointId) {
         int group = request.group();
         long requestId = request.requestId();
-        if (request.isInFlight() || request.isAnswered()) {
-            violations.add(Violation.CONCURRENT_ATTEMPTS, now, group, requestId, "a second attempt in flight");
+        if (request.isInFlight() || request.isClosed()) {
+            violations.add(
+                    Violation.CONCURRENT_ATTEMPTS,
+                    now,
+                    group,
+                    requestId,
+                    "a second attempt sent while one is in flight, or an attempt after the reply");
         }
         if (request.isWrite() && request.isKeyExpired(limits.keyTtl(), now)) {
-            violations.add(Violation.RETRIED_AFTER_KEY_TTL, now, group, requestId, "retried after its key's TTL");
+            violations.add(
+                    Violation.RETRIED_AFTER_KEY_TTL,
+                    now,
+                    group,
+                    requestId,
+                    "write retried after the TTL of its idempotency key");
         }
-        String serving = groups[group].servingEndpoint();
-        if (request.isWrite() && serving != null && !serving.equals(endpointId)) {
+        String servingEndpoint = groups[group].servingEndpoint();
+        if (request.isWrite() && servingEndpoint != null && !servingEndpoint.equals(endpointId)) {
             violations.add(
                     Violation.MISDIRECTED_WRITE,
                     now,
                     group,
                     requestId,
-                    "a write to " + endpointId + " while " + serving + " serves them");
+                    "write sent to " + endpointId + " while " + servingEndpoint + " serves the group's writes");
         }
         if (now > drainingSince.getOrDefault(endpointId, Long.MAX_VALUE / 2) + limits.drainGrace()) {
-            violations.add(Violation.SENT_TO_DRAINED, now, group, requestId, "sent to a draining member");
+            violations.add(
+                    Violation.SENT_AFTER_DRAIN_GRACE,
+                    now,
+                    group,
+                    requestId,
+                    "attempt sent to a draining member after the drain grace");
         }
     }
 
@@ -228,10 +261,10 @@
         }
         trace.add(now, request.group(), requestId, "attempt ended " + result);
         if (result == AttemptResult.OK && request.isWrite()) {
-            groups[request.group()].recordServing(request.endpointId());
+            groups[request.group()].recordServedWrite(request.endpointId());
         }
         request.endAttempt(result != AttemptResult.OK && !result.provesNotExecuted());
-        if (request.isAnswered()) {
+        if (request.isClosed()) {
             requests.remove(requestId);
         }
     }
@@ -244,31 +277,31 @@
         } else if (effect instanceof ModelEffect.WriteRolledBack e) {
             onRolledBack(now, group, e.idempotencyKey());
         } else if (effect instanceof ModelEffect.LeaderLost e) {
-            trace(now, group, "leader " + e.previousLeader() + " lost" + (e.planned() ? ", planned" : ""));
-            groups[group].loseLeader(e.planned());
+            trace(now, group, "member " + e.previousLeader() + " lost leadership" + (e.planned() ? ", planned" : ""));
+            groups[group].onLeaderLost(e.planned());
         } else if (effect instanceof ModelEffect.LeaderElected e) {
-            trace(now, group, "leader is " + e.member());
-            groups[group].elect(SimulatedGroup.endpointId(group, e.member()));
+            trace(now, group, "new leader is member " + e.member());
+            groups[group].onLeaderElected(SimulatedGroup.endpointId(group, e.member()));
         } else if (effect instanceof ModelEffect.MemberCollapsed e) {
             violations.add(
                     Violation.MEMBER_COLLAPSED,
                     now,
                     group,
-                    AuditTrace.WHOLE_GROUP,
-                    "member " + e.member() + " collapsed");
+                    AuditTrace.GROUP_REQUEST_ID,
+                    "member " + e.member() + " collapsed under overload");
         }
     }
 
     private void onApplied(long now, int group, String idempotencyKey) {
         AuditedKey key = keys.get(idempotencyKey);
-        trace.add(now, group, KEY_LINE, idempotencyKey + " applied");
+        trace.add(now, group, KEY_REQUEST_ID, idempotencyKey + " applied");
         key.timesApplied++;
         if (key.timesApplied > 1) {
             violations.add(
                     Violation.APPLIED_TWICE,
                     now,
                     group,
-                    AuditTrace.WHOLE_GROUP,
+                    AuditTrace.GROUP_REQUEST_ID,
                     idempotencyKey,
                     idempotencyKey + " applied twice");
         }
@@ -277,38 +310,38 @@
     private void onRolledBack(long now, int group, String idempotencyKey) {
         AuditedKey key = keys.get(idempotencyKey);
         key.timesApplied--;
-        trace.add(now, group, KEY_LINE, idempotencyKey + " rolled back");
+        trace.add(now, group, KEY_REQUEST_ID, idempotencyKey + " rolled back");
         if (key.served) {
             violations.add(
                     Violation.SERVED_NOT_APPLIED,
                     now,
                     group,
-                    AuditTrace.WHOLE_GROUP,
+                    AuditTrace.GROUP_REQUEST_ID,
                     idempotencyKey,
-                    idempotencyKey + " served and lost");
+                    idempotencyKey + " served, then rolled back");
         }
     }
 
-    /** A member was elected; returns how often its group has lost its leader, for {@link #onLeaderStable}. */
+    /** Counts a failover if the leader changed; returns the number of leader losses for {@link #onLeaderStable}. */
     long onLeaderElected(int group, boolean changed) {
         failovers += changed ? 1 : 0;
-        return groups[group].leaderLosses();
+        return groups[group].leaderLossCount();
     }
 
-    /** {@link #RECOVERY_MARGIN_MICROS} after an election: if the leader still leads, its affected writes are judged. */
-    void onLeaderStable(int group, long leaderLosses, long electedAt, String leader, boolean warmingUp) {
+    /** Classifies the affected writes {@link #RECOVERY_MARGIN_MICROS} after an election if the leader is unchanged. */
+    void onLeaderStable(int group, long leaderLossCount, long electedAt, String leader, boolean warmingUp) {
         AuditedGroup audited = groups[group];
-        if (!audited.isLedSince(leaderLosses)) {
+        if (!audited.hasStableLeaderSince(leaderLossCount)) {
             return;
         }
         long recoveredAt = electedAt + RECOVERY_MARGIN_MICROS;
-        Reachability changeKind = audited.isPlanned() ? Reachability.PLANNED : Reachability.UNPLANNED;
+        Reachability changeKind = audited.isLastLossPlanned() ? Reachability.PLANNED : Reachability.UNPLANNED;
         Reachability kind = warmingUp ? Reachability.WARMING_UP : changeKind;
-        for (AuditedRequest request : audited.takeAffectedWrites()) {
+        for (AuditedRequest request : audited.removeAffectedWrites()) {
             boolean inDoubt = request.isKeyExpiredAtFailover(leader, electedAt, limits.keyTtl(), recoveredAt);
             if (!request.isLost() && !inDoubt && request.deadline() >= recoveredAt) {
                 request.setReachability(kind);
-                if (request.isAnswered()) {
+                if (request.isClosed()) {
                     countReachable(request);
                 }
             }
@@ -321,17 +354,22 @@
         }
         reachableWrites.add(request.reachability(), request.isServed());
         if (!request.isServed()) {
-            trace.add(request.deadline(), request.group(), request.requestId(), "reachable and not served");
+            trace.add(request.deadline(), request.group(), request.requestId(), "reachable write not served");
         }
         request.setReachability(Reachability.UNKNOWN);
     }
 
     // ---- Results -------------------------------------------------------------------------------------
 
-    /** Everything has come to rest: no request may still be open. */
+    /** Ends the run; each request that is still open is a violation. */
     void end(long now) {
         for (AuditedRequest request : openRequests()) {
-            violations.add(Violation.MISSING_REPLY, now, request.group(), request.requestId(), "never answered");
+            violations.add(
+                    Violation.MISSING_REPLY,
+                    now,
+                    request.group(),
+                    request.requestId(),
+                    "no reply by the end of the run");
         }
     }
 
@@ -339,7 +377,7 @@
         return failovers;
     }
 
-    /** The first violation with its trace; null for none. */
+    /** The first violation with its trace; null if there is none. */
     String firstViolation() {
         return violations.first();
     }
--- a/src/main/java/crankwick/simulation/FailoverReport.java
+++ b/src/main/java/crankwick/simulation/FailoverReport.java
@@ -38,12 +38,12 @@
         return audit;
     }
 
-    /** The most requests that were buffered at once. */
+    /** The maximum number of requests buffered at once. */
     long maxBuffered() {
         return maxBuffered;
     }
 
-    /** All figures under the names that the command line prints, in its order. */
+    /** Returns all figures by the names, and in the order, of the command line output. */
     public Map<String, Object> figures() {
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("failovers", audit.failovers());
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -12,42 +12,42 @@
 import java.util.List;
 
 /**
- * Explores failovers in simulated time: the real broker, router and failover coordinator over modelled groups,
- * with delays, lost connections, faults and restarts of the proxy drawn by seed, checked at every step by
+ * Simulates failovers: runs the production broker, router and failover coordinator against modelled groups in
+ * simulated time, with delays, lost connections, faults and proxy restarts drawn by seed, and checks every step with
  * {@link FailoverAudit}. The same options give the same run (as in FoundationDB's simulation testing; Zhou et
  * al., SIGMOD 2021).
  */
 public final class FailoverSimulation {
-    /** A deliberate defect of the world around the broker or of its settings, which the audit must catch. */
+    /** A deliberate defect in the environment or the settings of the broker, which the audit must detect. */
     public enum Defect {
         NONE,
-        /** The proxy takes keys to be remembered for longer than they are. */
+        /** The proxy is configured with a longer key TTL than the databases use. */
         RESEND_AFTER_WINDOW,
-        /** The proxy takes a role in the endpoint list for a member's own word. */
+        /** The proxy receives the role in the endpoint list as if the member had reported it itself. */
         LATE_LIST_BELIEVED,
         /** A buffered request is sent twice. */
         HELD_SENT_TWICE,
-        /** Buffered requests are released all at once. */
+        /** Buffered requests are released without a limit on how many at once. */
         RELEASE_WITHOUT_PACE
     }
 
     /**
-     * What to run.
+     * Options of a run.
      *
-     * @param groups groups of three databases, 1 or more
-     * @param failovers changes of leaders after which the run comes to its end, 1 or more
-     * @param failover settings of failovers; null leaves them to the router alone, as earlier versions did
+     * @param groups number of groups of three databases, at least 1
+     * @param failovers number of failovers after which the run ends, at least 1
+     * @param failover settings of the failover coordinator; null for the router alone, as in earlier versions
      */
     public record Options(int groups, int failovers, long seed, FailoverSettings failover, Defect defect) {}
 
     private static final long START_MICROS = 1_000_000 * SECONDS;
-    /** The longest run, in simulated time, for each failover wanted. */
+    /** Limit on the simulated time per requested failover. */
     private static final long MAX_MICROS_PER_FAILOVER = 60 * SECONDS;
-    /** How long requests have to end after the last failover. */
+    /** How long open requests have to complete after the last failover. */
     private static final long COOL_DOWN_MICROS = 10 * SECONDS;
 
-    private static final long MIN_RESTART_PAUSE_MICROS = 60 * SECONDS;
-    private static final long MAX_RESTART_PAUSE_MICROS = 180 * SECONDS;
+    private static final long MIN_RESTART_INTERVAL_MICROS = 60 * SECONDS;
+    private static final long MAX_RESTART_INTERVAL_MICROS = 180 * SECONDS;
     private static final long DEFECTIVE_KEY_TTL_MICROS = 60 * SECONDS;
 
     private final Options options;
@@ -65,7 +65,7 @@
     private final FaultSchedule faults;
     private long maxBuffered;
     private long proxyRestarts;
-    private boolean ending;
+    private boolean coolingDown;
 
     /** Prepares a run. */
     public FailoverSimulation(Options options) {
@@ -86,9 +86,10 @@
                 routingSettings.requestClasses(),
                 failoverSettings != null,
                 this::handle,
-                () -> ending);
+                () -> coolingDown);
         proxy = new SimulatedProxy(clock, random, audit, network, clients, options.defect() == Defect.HELD_SENT_TWICE);
-        faults = new FaultSchedule(clock, random, audit, network, modelSettings.memberCount(), discovery, () -> ending);
+        faults = new FaultSchedule(
+                clock, random, audit, network, modelSettings.memberCount(), discovery, () -> coolingDown);
     }
 
     private static FailoverSettings failoverSettings(Options options) {
@@ -104,13 +105,13 @@
                 FailoverSettings.DEFAULT.initialWindow());
     }
 
-    /** Runs to the end. */
+    /** Runs the simulation to its end. */
     public FailoverReport run() {
         long startedAtNanos = System.nanoTime();
         createGroups();
         startProxy();
         scheduleProxyRestart();
-        runUntilFailoversAreReached();
+        runUntilFailoverTarget();
         coolDown();
         audit.end(clock.now());
         return new FailoverReport(
@@ -122,7 +123,7 @@
                 Math.round((System.nanoTime() - startedAtNanos) / 1e7) / 100.0);
     }
 
-    /** The first violation with its trace; null for none. */
+    /** The first violation with its trace; null if there is none. */
     public String firstViolation() {
         return audit.firstViolation();
     }
@@ -137,17 +138,17 @@
         }
     }
 
-    private void runUntilFailoversAreReached() {
-        long latest = START_MICROS
+    private void runUntilFailoverTarget() {
+        long timeLimit = START_MICROS
                 + MAX_MICROS_PER_FAILOVER * options.failovers() / options.groups()
                 + MAX_MICROS_PER_FAILOVER;
-        while (audit.failovers() < options.failovers() && clock.now() < latest && clock.runNext()) {
-            maxBuffered = Math.max(maxBuffered, proxy.buffered());
+        while (audit.failovers() < options.failovers() && clock.now() < timeLimit && clock.runNext()) {
+            maxBuffered = Math.max(maxBuffered, proxy.bufferedRequests());
         }
     }
 
     private void coolDown() {
-        ending = true;
+        coolingDown = true;
         long end = clock.now() + COOL_DOWN_MICROS;
         clock.schedule(end, () -> {});
         while (clock.now() < end && clock.runNext()) {
@@ -161,23 +162,23 @@
 
     private void startProxy() {
         proxy.start(routingSettings, failoverSettings);
-        discovery.publishAll(groups, modelSettings.memberCount());
+        discovery.publishFullList(groups, modelSettings.memberCount());
     }
 
     private void scheduleProxyRestart() {
-        clock.scheduleAfter(random.between(MIN_RESTART_PAUSE_MICROS, MAX_RESTART_PAUSE_MICROS), () -> {
-            if (!ending) {
+        clock.scheduleAfter(random.between(MIN_RESTART_INTERVAL_MICROS, MAX_RESTART_INTERVAL_MICROS), () -> {
+            if (!coolingDown) {
                 restartProxy();
                 scheduleProxyRestart();
             }
         });
     }
 
-    /** The proxy's process is killed, and another one starts. */
+    /** Kills the proxy process and starts a new one. */
     private void restartProxy() {
         proxyRestarts++;
         audit.onProxyEnded();
-        network.reset();
+        network.onProxyEnded();
         for (AuditedRequest request : audit.openRequests()) {
             audit.onRequestLost(request);
             audit.onAttemptEnded(clock.now(), request.requestId(), AttemptResult.NOT_SENT);
@@ -188,17 +189,17 @@
 
     private void onLeaderElected(SimulatedGroup group, int member) {
         GroupModel model = group.model();
-        long leaderLosses = audit.onLeaderElected(group.id(), group.lastLeader() != member);
+        long leaderLossCount = audit.onLeaderElected(group.id(), group.lastLeader() != member);
         long electedAt = clock.now();
-        boolean commits = model.canCommitWrites();
+        boolean couldCommit = model.canCommitWrites();
         clock.scheduleAfter(FailoverAudit.RECOVERY_MARGIN_MICROS, () -> {
-            if (commits && model.canCommitWrites()) {
+            if (couldCommit && model.canCommitWrites()) {
                 boolean warmingUp = electedAt < model.startedAt(member) + modelSettings.warmUpMicros();
-                audit.onLeaderStable(group.id(), leaderLosses, electedAt, group.endpointId(member), warmingUp);
+                audit.onLeaderStable(group.id(), leaderLossCount, electedAt, group.endpointId(member), warmingUp);
             }
         });
         int previous = group.lastLeader();
         group.setLastLeader(member);
-        discovery.publishLeaderLate(group, previous, member);
+        discovery.publishLeaderDelayed(group, previous, member);
     }
 }
--- a/src/main/java/crankwick/simulation/FaultSchedule.java
+++ b/src/main/java/crankwick/simulation/FaultSchedule.java
@@ -8,16 +8,16 @@
 import crankwick.model.ModelEvent.FaultInjected.Kind;
 import java.util.function.BooleanSupplier;
 
-/** Crashes, hangs and drains of a group's members, drawn by seed, and their restarts. */
+/** Schedules crashes, hangs and drains of a group's members, drawn by seed, and the restarts that follow. */
 final class FaultSchedule {
-    private static final long MIN_PAUSE_MICROS = 300 * MILLIS;
-    private static final double MEAN_PAUSE_MICROS = 8.0 * SECONDS;
+    private static final long MIN_FAULT_INTERVAL_MICROS = 300 * MILLIS;
+    private static final double MEAN_ADDED_INTERVAL_MICROS = 8.0 * SECONDS;
     private static final long RESTART_RETRY_MICROS = 500 * MILLIS;
-    /** Bounds of a draw in percent: drains, then crashes, then hangs of the leader; the rest hits a replica. */
-    private static final int DRAINS_BELOW = 30;
+    /** Upper limits of a percent draw: the leader drains, crashes or hangs; above the last, a replica crashes. */
+    private static final int DRAIN_DRAW_LIMIT = 30;
 
-    private static final int CRASHES_BELOW = 65;
-    private static final int HANGS_BELOW = 90;
+    private static final int CRASH_DRAW_LIMIT = 65;
+    private static final int HANG_DRAW_LIMIT = 90;
     private static final int SUCCESSOR_FAULT_PERCENT = 15;
 
     private final SimulatedClock clock;
@@ -26,7 +26,7 @@
     private final ModelNetwork network;
     private final int members;
     private final SimulatedDiscovery discovery;
-    private final BooleanSupplier ending;
+    private final BooleanSupplier coolingDown;
 
     FaultSchedule(
             SimulatedClock clock,
@@ -35,36 +35,36 @@
             ModelNetwork network,
             int members,
             SimulatedDiscovery discovery,
-            BooleanSupplier ending) {
+            BooleanSupplier coolingDown) {
         this.clock = clock;
         this.random = random;
         this.audit = audit;
         this.network = network;
         this.members = members;
         this.discovery = discovery;
-        this.ending = ending;
+        this.coolingDown = coolingDown;
     }
 
-    /** Draws the next fault of a group, and so on until the run comes to its end. */
+    /** Schedules the next fault of a group; each fault schedules its successor until the cool-down. */
     void scheduleNext(SimulatedGroup group) {
-        clock.scheduleAfter(MIN_PAUSE_MICROS + random.exponential(MEAN_PAUSE_MICROS), () -> {
-            if (!ending.getAsBoolean()) {
-                injectAny(group);
+        clock.scheduleAfter(MIN_FAULT_INTERVAL_MICROS + random.exponential(MEAN_ADDED_INTERVAL_MICROS), () -> {
+            if (!coolingDown.getAsBoolean()) {
+                injectRandomFault(group);
                 scheduleNext(group);
             }
         });
     }
 
-    private void injectAny(SimulatedGroup group) {
+    private void injectRandomFault(SimulatedGroup group) {
         int leader = group.model().leader();
         int draw = random.nextPercent();
-        if (leader < 0 || !areOthersReady(group, leader)) {
+        if (leader < 0 || !areOtherMembersReady(group, leader)) {
             return;
         }
-        if (draw < DRAINS_BELOW) {
+        if (draw < DRAIN_DRAW_LIMIT) {
             drainLeader(group, leader);
-        } else if (draw < HANGS_BELOW) {
-            failLeader(group, leader, draw < CRASHES_BELOW ? Kind.CRASH : Kind.HANG);
+        } else if (draw < HANG_DRAW_LIMIT) {
+            failLeader(group, leader, draw < CRASH_DRAW_LIMIT ? Kind.CRASH : Kind.HANG);
         } else {
             int replica = (leader + 1) % members;
             inject(group, replica, Kind.CRASH);
@@ -86,8 +86,8 @@
         }
     }
 
-    /** The next fault of a leader waits until the group has all its members again. */
-    private boolean areOthersReady(SimulatedGroup group, int leader) {
+    /** Whether all other members respond and none is draining; otherwise no fault is injected. */
+    private boolean areOtherMembersReady(SimulatedGroup group, int leader) {
         GroupModel model = group.model();
         for (int member = 0; member < members; member++) {
             if (member != leader && (!model.isResponsive(member) || model.isDraining(member))) {
@@ -97,7 +97,7 @@
         return true;
     }
 
-    /** A member that may be about to take over crashes too, if another remains. */
+    /** Crashes the next candidate for leader too if there is no leader yet and another member responds. */
     private void crashSuccessor(SimulatedGroup group) {
         GroupModel model = group.model();
         int successor = (model.mostRecentLeader() + 1) % members;
@@ -124,7 +124,7 @@
             inject(group, member, Kind.RESTART);
             clock.scheduleAfter(random.between(20 * MILLIS, 300 * MILLIS), () -> discovery.publish(group, member));
             clock.scheduleAfter(discovery.drawDelay(), () -> {
-                group.listStart(member);
+                group.setListedStart(member);
                 discovery.publish(group, member);
             });
         });
--- a/src/main/java/crankwick/simulation/ModelNetwork.java
+++ b/src/main/java/crankwick/simulation/ModelNetwork.java
@@ -20,14 +20,14 @@
 import java.util.function.Consumer;
 
 /**
- * The network between the proxy and the modelled groups: attempts and health checks take their time each way,
- * find a hung machine, and now and then lose their connection.
+ * The network between the proxy and the modelled groups: attempts and health checks are delayed in both directions,
+ * may time out on a hung member, and lose their connection at random.
  */
 final class ModelNetwork {
     private static final long CONNECT_TIMEOUT_MICROS = 250 * MILLIS;
     private static final long HEALTH_CHECK_TIMEOUT_MICROS = 250 * MILLIS;
-    /** Connections that break, each before, during and after the work. */
-    private static final int BREAKS_PER_TEN_THOUSAND = 20;
+    /** Rate of connection failures, applied before sending, during execution and while returning the response. */
+    private static final int CONNECTION_FAILURES_PER_TEN_THOUSAND = 20;
 
     private final SimulatedClock clock;
     private final SimulationRandom random;
@@ -35,10 +35,10 @@
     private final List<SimulatedGroup> groups;
     private final Consumer<BrokerEvent> proxy;
     private final BiConsumer<SimulatedGroup, Integer> onLeaderElected;
-    private final Map<Long, NetworkExchange> atModels = new HashMap<>();
+    private final Map<Long, NetworkExchange> exchangesAtModels = new HashMap<>();
     private final Map<Long, NetworkExchange> attempts = new LinkedHashMap<>();
-    private long generation;
-    private long exchanges;
+    private long proxyGeneration;
+    private long lastExchangeId;
 
     ModelNetwork(
             SimulatedClock clock,
@@ -61,17 +61,17 @@
 
     // ---- The proxy's side ----------------------------------------------------------------------------
 
-    /** The proxy's process has ended: its connections are closed, and what was on its way is lost. */
-    void reset() {
-        generation++;
-        for (NetworkExchange exchange : List.copyOf(atModels.values())) {
+    /** The proxy process has ended: closes its connections and drops everything in transit. */
+    void onProxyEnded() {
+        proxyGeneration++;
+        for (NetworkExchange exchange : List.copyOf(exchangesAtModels.values())) {
             exchange.finish();
             closeConnection(exchange);
         }
         attempts.clear();
     }
 
-    /** The proxy waits for an attempt no longer. */
+    /** Cancels an attempt. */
     void cancelAttempt(long requestId) {
         NetworkExchange exchange = attempts.remove(requestId);
         if (exchange != null) {
@@ -82,82 +82,82 @@
         }
     }
 
-    /** An attempt of which nothing has been written ends. */
+    /** Ends an attempt if nothing of it has been written. */
     void cancelQueued(long requestId) {
         NetworkExchange exchange = attempts.get(requestId);
         if (exchange != null && !exchange.isWritten()) {
-            end(exchange, AttemptResult.NOT_SENT, null);
+            complete(exchange, AttemptResult.NOT_SENT, null);
         }
     }
 
-    /** Sends an attempt, with its idempotency key and the position that it must see. */
+    /** Sends an attempt with its idempotency key and the replication position that it requires. */
     void send(Effect.SendAttempt attempt, String idempotencyKey, long requiredPosition) {
         audit.onAttemptSent(clock.now(), attempt.requestId(), attempt.endpointId());
         NetworkExchange exchange =
-                NetworkExchange.attempt(++exchanges, attempt, clock.now(), idempotencyKey, requiredPosition);
+                NetworkExchange.attempt(++lastExchangeId, attempt, clock.now(), idempotencyKey, requiredPosition);
         attempts.put(attempt.requestId(), exchange);
-        travel(exchange);
+        transmit(exchange);
     }
 
     void checkHealth(String endpointId) {
-        NetworkExchange exchange = NetworkExchange.healthCheck(++exchanges, endpointId, clock.now());
-        travel(exchange);
-        clock.scheduleAfter(HEALTH_CHECK_TIMEOUT_MICROS, () -> end(exchange, AttemptResult.TIMEOUT, null));
+        NetworkExchange exchange = NetworkExchange.healthCheck(++lastExchangeId, endpointId, clock.now());
+        transmit(exchange);
+        clock.scheduleAfter(HEALTH_CHECK_TIMEOUT_MICROS, () -> complete(exchange, AttemptResult.TIMEOUT, null));
     }
 
-    // ---- On the way ----------------------------------------------------------------------------------
+    // ---- In transit ----------------------------------------------------------------------------------
 
-    /** A hung machine accepts no new connection; half of the attempts find one that is open. */
-    private void travel(NetworkExchange exchange) {
-        long expected = generation;
+    /** A hung member accepts no new connections; half of the exchanges with it reuse an open connection. */
+    private void transmit(NetworkExchange exchange) {
+        long expectedGeneration = proxyGeneration;
         GroupModel model = groupOf(exchange).model();
         int member = exchange.member();
         if (!model.isResponsive(member) && !model.refusesConnections(member) && random.nextBoolean()) {
-            clock.scheduleAfter(CONNECT_TIMEOUT_MICROS, () -> end(exchange, AttemptResult.UNREACHABLE, null));
-        } else if (random.chance(BREAKS_PER_TEN_THOUSAND)) {
+            clock.scheduleAfter(CONNECT_TIMEOUT_MICROS, () -> complete(exchange, AttemptResult.UNREACHABLE, null));
+        } else if (random.chance(CONNECTION_FAILURES_PER_TEN_THOUSAND)) {
             clock.scheduleAfter(
-                    random.networkDelay(), () -> end(exchange, AttemptResult.CONNECTION_LOST_BEFORE_SEND, null));
+                    random.networkDelay(), () -> complete(exchange, AttemptResult.CONNECTION_LOST_BEFORE_SEND, null));
         } else {
             clock.scheduleAfter(random.networkDelay(), () -> {
-                if (!exchange.isFinished() && expected == generation) {
-                    arrive(exchange);
+                if (!exchange.isFinished() && expectedGeneration == proxyGeneration) {
+                    deliverToMember(exchange);
                 }
             });
         }
     }
 
-    private void arrive(NetworkExchange exchange) {
+    private void deliverToMember(NetworkExchange exchange) {
         SimulatedGroup group = groupOf(exchange);
-        atModels.put(exchange.exchangeId(), exchange);
+        exchangesAtModels.put(exchange.exchangeId(), exchange);
         if (!exchange.isHealthCheck() && !group.model().refusesConnections(exchange.member())) {
             exchange.setWritten();
             proxy.accept(new BrokerEvent.AttemptWritten(exchange.requestId(), exchange.attempt()));
         }
         deliver(group, exchange.toModelEvent());
-        if (random.chance(BREAKS_PER_TEN_THOUSAND)) {
-            clock.scheduleAfter(random.networkDelay(), () -> breakConnection(exchange));
+        if (random.chance(CONNECTION_FAILURES_PER_TEN_THOUSAND)) {
+            clock.scheduleAfter(random.networkDelay(), () -> resetConnection(exchange));
         }
     }
 
-    private void breakConnection(NetworkExchange exchange) {
-        if (atModels.containsKey(exchange.exchangeId())) {
+    private void resetConnection(NetworkExchange exchange) {
+        if (exchangesAtModels.containsKey(exchange.exchangeId())) {
             closeConnection(exchange);
-            end(exchange, AttemptResult.RESET, null);
+            complete(exchange, AttemptResult.RESET, null);
         }
     }
 
     private void closeConnection(NetworkExchange exchange) {
-        atModels.remove(exchange.exchangeId());
+        exchangesAtModels.remove(exchange.exchangeId());
         deliver(groupOf(exchange), new ModelEvent.ConnectionClosed(exchange.exchangeId()));
     }
 
-    private void end(NetworkExchange exchange, AttemptResult result, ModelEffect.ResponseSent answer) {
+    private void complete(NetworkExchange exchange, AttemptResult result, ModelEffect.ResponseSent response) {
         if (exchange.isFinished()) {
             return;
         }
         exchange.finish();
         long duration = clock.now() - exchange.startedAt();
-        LoadReport report = answer == null ? null : answer.report();
+        LoadReport report = response == null ? null : response.report();
         if (exchange.isHealthCheck()) {
             proxy.accept(new BrokerEvent.HealthCheckEnded(exchange.endpointId(), result, duration, report));
             return;
@@ -169,20 +169,20 @@
                 exchange.attempt(),
                 result,
                 duration,
-                answer == null ? Role.UNKNOWN : answer.role(),
-                answer == null ? AbsentValue.NONE : answer.position(),
+                response == null ? Role.UNKNOWN : response.role(),
+                response == null ? AbsentValue.NONE : response.position(),
                 report,
                 new byte[1]));
     }
 
     // ---- The databases' side -------------------------------------------------------------------------
 
-    /** Delivers an event to a group, and carries out what follows. */
+    /** Delivers an event to a group and executes the resulting effects. */
     void deliver(SimulatedGroup group, ModelEvent event) {
         List<ModelEffect> effects = new ArrayList<>(2);
         group.model().handle(event, clock.now(), effects::add);
         for (ModelEffect effect : effects) {
-            carryOut(group, effect);
+            execute(group, effect);
         }
         long dueAt = group.model().nextTimerDue();
         if (dueAt < group.timerDueAt()) {
@@ -196,27 +196,27 @@
         }
     }
 
-    private void carryOut(SimulatedGroup group, ModelEffect effect) {
+    private void execute(SimulatedGroup group, ModelEffect effect) {
         audit.onModelEffect(clock.now(), group.id(), effect);
         if (effect instanceof ModelEffect.ResponseSent e) {
-            NetworkExchange exchange = atModels.remove(e.exchangeId());
+            NetworkExchange exchange = exchangesAtModels.remove(e.exchangeId());
             if (exchange != null) {
-                returnAnswer(exchange, e);
+                returnResponse(exchange, e);
             }
         } else if (effect instanceof ModelEffect.ConnectionFailed e) {
-            NetworkExchange exchange = atModels.remove(e.exchangeId());
+            NetworkExchange exchange = exchangesAtModels.remove(e.exchangeId());
             if (exchange != null) {
                 AttemptResult result = e.refused() ? AttemptResult.UNREACHABLE : AttemptResult.RESET;
-                clock.scheduleAfter(random.networkDelay(), () -> end(exchange, result, null));
+                clock.scheduleAfter(random.networkDelay(), () -> complete(exchange, result, null));
             }
         } else if (effect instanceof ModelEffect.LeaderElected e) {
             onLeaderElected.accept(group, e.member());
         }
     }
 
-    private void returnAnswer(NetworkExchange exchange, ModelEffect.ResponseSent answer) {
-        boolean lost = random.chance(BREAKS_PER_TEN_THOUSAND);
-        AttemptResult result = lost ? AttemptResult.RESET : answer.result();
-        clock.scheduleAfter(random.networkDelay(), () -> end(exchange, result, lost ? null : answer));
+    private void returnResponse(NetworkExchange exchange, ModelEffect.ResponseSent response) {
+        boolean lost = random.chance(CONNECTION_FAILURES_PER_TEN_THOUSAND);
+        AttemptResult result = lost ? AttemptResult.RESET : response.result();
+        clock.scheduleAfter(random.networkDelay(), () -> complete(exchange, result, lost ? null : response));
     }
 }
--- a/src/main/java/crankwick/simulation/NetworkExchange.java
+++ b/src/main/java/crankwick/simulation/NetworkExchange.java
@@ -4,14 +4,14 @@
 import crankwick.model.ModelEvent;
 import crankwick.routing.api.AbsentValue;
 
-/** An attempt or a health check on its way to a member, at it, or on its way back. */
+/** An attempt or a health check, from its start to its result. */
 final class NetworkExchange {
     private static final long NO_REQUEST = -1;
     private static final int NO_ATTEMPT = -1;
 
     private enum State {
-        TRAVELLING,
-        /** The member has been sent all of an attempt. */
+        IN_TRANSIT,
+        /** The attempt has been written completely to the member. */
         WRITTEN,
         FINISHED
     }
@@ -23,7 +23,7 @@
     private final long startedAt;
     private final String idempotencyKey;
     private final long requiredPosition;
-    private State state = State.TRAVELLING;
+    private State state = State.IN_TRANSIT;
 
     private NetworkExchange(
             long exchangeId,
@@ -58,7 +58,7 @@
         return new NetworkExchange(exchangeId, NO_REQUEST, NO_ATTEMPT, endpointId, now, null, AbsentValue.NONE);
     }
 
-    /** Its id at the model, never used twice. */
+    /** The id of the exchange in the model, never reused. */
     long exchangeId() {
         return exchangeId;
     }
@@ -105,7 +105,7 @@
         state = State.FINISHED;
     }
 
-    /** The proxy has been given a result, or waits for none. */
+    /** Whether the proxy has received the result or no longer waits for it. */
     boolean isFinished() {
         return state == State.FINISHED;
     }
--- a/src/main/java/crankwick/simulation/PolledDiscovery.java
+++ b/src/main/java/crankwick/simulation/PolledDiscovery.java
@@ -3,12 +3,12 @@
 import static crankwick.simulation.TimeUnits.MILLIS;
 import static crankwick.simulation.TimeUnits.SECONDS;
 
-/** Discovery as a fleet polls it: it takes callers in turn, rejects those that would wait long, and can be down. */
+/** Discovery for a polling fleet: queues calls, rejects a call that would wait too long, and can be unavailable. */
 final class PolledDiscovery {
-    private static final long MAX_WAIT_MICROS = 2 * SECONDS;
-    /** A call that comes so soon after an answer resumes its watch, and waits for no turn. */
+    private static final long MAX_QUEUE_DELAY_MICROS = 2 * SECONDS;
+    /** A call within this time of the last response resumes its watch and skips the queue. */
     private static final long RESUME_WINDOW_MICROS = 200 * MILLIS;
-    /** The wait of a call that is rejected. */
+    /** Returned by {@link #admit} for a rejected call. */
     static final long REJECTED = -1;
 
     private final SimulatedClock clock;
@@ -45,15 +45,15 @@
         return calls;
     }
 
-    /** How long a call waits for its turn, in microseconds, where its watch was last answered at some time. */
-    long admit(long lastAnsweredAt) {
+    /** Admits a call; returns its queueing delay in microseconds, or {@link #REJECTED}. */
+    long admit(long lastResponseAt) {
         long now = clock.now();
-        boolean resumes = now - lastAnsweredAt < RESUME_WINDOW_MICROS;
-        long wait = resumes ? 0 : Math.max(0, busyUntil - now) + microsPerCall;
-        if (down || wait > MAX_WAIT_MICROS) {
+        boolean resumes = now - lastResponseAt < RESUME_WINDOW_MICROS;
+        long queueDelay = resumes ? 0 : Math.max(0, busyUntil - now) + microsPerCall;
+        if (down || queueDelay > MAX_QUEUE_DELAY_MICROS) {
             return REJECTED;
         }
-        busyUntil = resumes ? busyUntil : now + wait;
-        return wait;
+        busyUntil = resumes ? busyUntil : now + queueDelay;
+        return queueDelay;
     }
 }
--- a/src/main/java/crankwick/simulation/Reachability.java
+++ b/src/main/java/crankwick/simulation/Reachability.java
@@ -1,6 +1,6 @@
 package crankwick.simulation;
 
-/** Whether a write that met a failover could have been served, by the kind of that failover. */
+/** Whether a write affected by a failover could have been served, and the kind of the failover. */
 enum Reachability {
     UNKNOWN("unknown"),
     UNPLANNED("unplanned"),
@@ -14,7 +14,7 @@
         this.figure = figure;
     }
 
-    /** Its name in the figures of a run. */
+    /** The name in the figures of a run. */
     String figure() {
         return figure;
     }
--- a/src/main/java/crankwick/simulation/ReachableWrites.java
+++ b/src/main/java/crankwick/simulation/ReachableWrites.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts of writes that could have been served in a failover, and of those that were. */
+/** Counts the writes that could have been served during a failover, and how many of them were served. */
 final class ReachableWrites {
     private final Map<Reachability, Long> reachable = new EnumMap<>(Reachability.class);
     private final Map<Reachability, Long> served = new EnumMap<>(Reachability.class);
@@ -19,7 +19,7 @@
         return sum(reachable, kinds);
     }
 
-    /** The share of them that were served, 0 to 1; 1 where there were none. */
+    /** The served share of the reachable writes, 0 to 1; 1 if there were none. */
     double servedShare(Reachability... kinds) {
         long total = sum(reachable, kinds);
         return total == 0 ? 1 : Math.round(10_000.0 * sum(served, kinds) / total) / 10_000.0;
--- a/src/main/java/crankwick/simulation/SimulatedClients.java
+++ b/src/main/java/crankwick/simulation/SimulatedClients.java
@@ -14,42 +14,44 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** The clients of all groups: independent arrivals of reads and writes, and what clients do about a failure. */
+/** The clients of all groups: independent arrivals of reads and writes, and the clients' retries. */
 final class SimulatedClients {
     private static final double ARRIVALS_PER_SECOND = 30;
     private static final double WRITE_SHARE = 0.2;
     private static final double STRONG_READ_SHARE = 0.1;
     private static final int MAX_RETRIES = 3;
     private static final int STATEMENT_BYTES = 160;
-    private static final long MIN_RETRY_PAUSE_MICROS = 10 * MILLIS;
-    /** Clients that retry a write that has failed, whose key may have run. */
+    private static final long MIN_RETRY_DELAY_MICROS = 10 * MILLIS;
+    /** Percentage of clients that retry a failed write although it may have been executed. */
     private static final int UNSAFE_RETRY_PERCENT = 50;
-    /** How long before the end of a key's TTL its client stops to wait, after the proxy has ended under it. */
+    /** How long before the end of a key's TTL its client gives up after the proxy process ended during a request. */
     private static final long KEY_MARGIN_MICROS = 100 * MILLIS;
 
-    /** A client's operation with all its retries; {@code unsafeRetry} once it retries a failed write. */
+    /** A client's operation with all its retries; {@code unsafeRetry} is set when a failed write is retried. */
     private record Operation(
             int group,
             int classIndex,
             String idempotencyKey,
             long requiredPosition,
             int retries,
-            long until,
+            long expiresAt,
             boolean unsafeRetry) {
         boolean isWrite() {
             return idempotencyKey != null;
         }
 
-        Operation retried() {
-            return new Operation(group, classIndex, idempotencyKey, requiredPosition, retries + 1, until, unsafeRetry);
+        Operation withRetry() {
+            return new Operation(
+                    group, classIndex, idempotencyKey, requiredPosition, retries + 1, expiresAt, unsafeRetry);
         }
 
-        Operation retriedUnsafely() {
-            return new Operation(group, classIndex, idempotencyKey, requiredPosition, retries + 1, until, true);
+        Operation withUnsafeRetry() {
+            return new Operation(group, classIndex, idempotencyKey, requiredPosition, retries + 1, expiresAt, true);
         }
 
-        Operation limitedTo(long newUntil) {
-            return new Operation(group, classIndex, idempotencyKey, requiredPosition, retries, newUntil, unsafeRetry);
+        Operation withExpiry(long newExpiresAt) {
+            return new Operation(
+                    group, classIndex, idempotencyKey, requiredPosition, retries, newExpiresAt, unsafeRetry);
         }
     }
 
@@ -59,7 +61,7 @@
     private final List<RequestClass> requestClasses;
     private final boolean retriesFailedWrites;
     private final Consumer<BrokerEvent> proxy;
-    private final BooleanSupplier ending;
+    private final BooleanSupplier coolingDown;
     private final Map<Long, Operation> operations = new HashMap<>();
     private long proxyGeneration;
     private long requestsSent;
@@ -72,20 +74,20 @@
             List<RequestClass> requestClasses,
             boolean retriesFailedWrites,
             Consumer<BrokerEvent> proxy,
-            BooleanSupplier ending) {
+            BooleanSupplier coolingDown) {
         this.clock = clock;
         this.random = random;
         this.audit = audit;
         this.requestClasses = requestClasses;
         this.retriesFailedWrites = retriesFailedWrites;
         this.proxy = proxy;
-        this.ending = ending;
+        this.coolingDown = coolingDown;
     }
 
-    /** Draws the next arrival at a group, and so on until the run comes to its end. */
+    /** Schedules the next arrival at a group; each arrival schedules its successor until the cool-down. */
     void scheduleArrival(SimulatedGroup group) {
         clock.scheduleAfter(random.exponential(SECONDS / ARRIVALS_PER_SECOND), () -> {
-            if (!ending.getAsBoolean()) {
+            if (!coolingDown.getAsBoolean()) {
                 send(nextOperation(group));
                 scheduleArrival(group);
             }
@@ -93,7 +95,7 @@
     }
 
     private Operation nextOperation(SimulatedGroup group) {
-        double draw = random.nextShare();
+        double draw = random.nextFraction();
         boolean write = draw < WRITE_SHARE;
         boolean strongRead = !write && draw < WRITE_SHARE + STRONG_READ_SHARE;
         boolean sessionRead = !write && !strongRead;
@@ -111,7 +113,7 @@
 
     private void send(Operation operation) {
         long classTimeout = requestClasses.get(operation.classIndex()).deadline();
-        long timeout = Math.min(classTimeout, operation.until() - clock.now());
+        long timeout = Math.min(classTimeout, operation.expiresAt() - clock.now());
         if (timeout <= 0) {
             return;
         }
@@ -140,46 +142,46 @@
     }
 
     /**
-     * A rejected client retries after the pause that it was given, with the same key and a new id. Some whose
-     * write has failed do so too, which they should not: the key may have run.
+     * Handles a reply. A rejected client retries after the retry-after of the reply, with the same key and a new
+     * request id. Some clients also retry a failed write, which is incorrect: the write may have been executed.
      */
     void onReply(long requestId, Reply reply) {
         audit.onReply(clock.now(), requestId, reply);
         Operation operation = operations.remove(requestId);
-        if (reply instanceof Reply.Rejected r && operation.retries() < MAX_RETRIES && !ending.getAsBoolean()) {
-            long pause = Math.max(MIN_RETRY_PAUSE_MICROS, r.retryAfter());
-            clock.scheduleAfter(pause, () -> send(operation.retried()));
+        if (reply instanceof Reply.Rejected r && operation.retries() < MAX_RETRIES && !coolingDown.getAsBoolean()) {
+            long delay = Math.max(MIN_RETRY_DELAY_MICROS, r.retryAfter());
+            clock.scheduleAfter(delay, () -> send(operation.withRetry()));
         } else if (reply instanceof Reply.Failed
                 && operation.isWrite()
                 && !operation.unsafeRetry()
-                && !ending.getAsBoolean()
+                && !coolingDown.getAsBoolean()
                 && retriesFailedWrites
                 && random.nextPercent() < UNSAFE_RETRY_PERCENT) {
             long generation = proxyGeneration;
             clock.scheduleAfter(random.between(50 * MILLIS, SECONDS), () -> {
                 if (generation == proxyGeneration) {
-                    send(operation.retriedUnsafely());
+                    send(operation.withUnsafeRetry());
                 }
             });
         }
     }
 
     /**
-     * The proxy's process has ended under an open request. Its client retries while the key's TTL surely
-     * lasts, and from then on waits no longer than that: the new process can't know that a key may have run.
+     * The proxy process has ended during a request. The client retries with a deadline before the end of the key's
+     * TTL, because the new process does not know that the write may have been executed.
      */
     void onConnectionLost(AuditedRequest request) {
         Operation operation = operations.remove(request.requestId());
-        long pause = random.between(50 * MILLIS, 300 * MILLIS);
+        long delay = random.between(50 * MILLIS, 300 * MILLIS);
         if (operation.unsafeRetry()) {
             return;
         }
-        long keyUntil = request.receivedAt() + SimulationSettings.KEY_TTL_MICROS - KEY_MARGIN_MICROS;
-        long until = operation.isWrite() ? Math.min(operation.until(), keyUntil) : Long.MAX_VALUE;
-        clock.scheduleAfter(pause, () -> send(operation.limitedTo(until)));
+        long keyRetryLimit = request.receivedAt() + SimulationSettings.KEY_TTL_MICROS - KEY_MARGIN_MICROS;
+        long expiresAt = operation.isWrite() ? Math.min(operation.expiresAt(), keyRetryLimit) : Long.MAX_VALUE;
+        clock.scheduleAfter(delay, () -> send(operation.withExpiry(expiresAt)));
     }
 
-    /** A new process of the proxy starts: what failed under an earlier one is not retried any more. */
+    /** A new proxy process has started: drops pending retries of writes that failed under an earlier process. */
     void onProxyStarted() {
         proxyGeneration++;
     }
--- a/src/main/java/crankwick/simulation/SimulatedClock.java
+++ b/src/main/java/crankwick/simulation/SimulatedClock.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Simulated time: tasks run in the order of their times, and of their scheduling where those are the same. */
+/** Simulated time: tasks run in the order of their due times; tasks with equal times run in scheduling order. */
 final class SimulatedClock {
     private record Task(long dueAt, long sequence, Runnable work) {}
 
@@ -16,7 +16,7 @@
         now = start;
     }
 
-    /** The time, in microseconds. */
+    /** The current time in microseconds. */
     long now() {
         return now;
     }
@@ -29,7 +29,7 @@
         schedule(now + delay, work);
     }
 
-    /** Runs the next task; false if there is none. */
+    /** Runs the next task; returns false if there is none. */
     boolean runNext() {
         Task task = tasks.poll();
         if (task == null) {
--- a/src/main/java/crankwick/simulation/SimulatedDiscovery.java
+++ b/src/main/java/crankwick/simulation/SimulatedDiscovery.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Discovery as the proxy sees it: endpoint lists, in which roles and starts show late. */
+/** Discovery for one proxy: publishes endpoint lists in which changes of roles and start times are delayed. */
 final class SimulatedDiscovery {
     private static final long MIN_DELAY_MICROS = 2_800 * MILLIS;
     private static final long MAX_DELAY_MICROS = 4_900 * MILLIS;
@@ -22,63 +22,63 @@
     private final SimulationRandom random;
     private final FailoverAudit audit;
     private final Consumer<BrokerEvent> proxy;
-    private final boolean trustLateRoles;
+    private final boolean trustListedRoles;
 
-    /** {@code trustLateRoles}: a deliberate defect, where the proxy takes a listed role for a member's own word. */
+    /** {@code trustListedRoles} is a deliberate defect: a listed role reaches the proxy as the member's load report. */
     SimulatedDiscovery(
             SimulatedClock clock,
             SimulationRandom random,
             FailoverAudit audit,
             Consumer<BrokerEvent> proxy,
-            boolean trustLateRoles) {
+            boolean trustListedRoles) {
         this.clock = clock;
         this.random = random;
         this.audit = audit;
         this.proxy = proxy;
-        this.trustLateRoles = trustLateRoles;
+        this.trustListedRoles = trustListedRoles;
     }
 
-    /** Draws how late the list shows a change of a role or a start, in microseconds. */
+    /** Draws the delay in microseconds before the list shows a changed role or start time. */
     long drawDelay() {
         return random.between(MIN_DELAY_MICROS, MAX_DELAY_MICROS);
     }
 
-    /** Lists new roles of two members, late. */
-    void publishLeaderLate(SimulatedGroup group, int previous, int leader) {
+    /** Publishes the roles of the previous and the new leader after a delay. */
+    void publishLeaderDelayed(SimulatedGroup group, int previous, int leader) {
         clock.scheduleAfter(drawDelay(), () -> {
-            group.listRole(previous, Role.REPLICA);
-            group.listRole(leader, Role.PRIMARY);
+            group.setListedRole(previous, Role.REPLICA);
+            group.setListedRole(leader, Role.PRIMARY);
             publish(group, previous);
             publish(group, leader);
         });
     }
 
-    /** Sends the proxy a member as it is listed by now. */
+    /** Publishes the current list entry of a member to the proxy. */
     void publish(SimulatedGroup group, int member) {
         Endpoint endpoint = group.endpoint(member);
-        recordListed(endpoint);
-        audit.trace(clock.now(), group.id(), "listed " + endpoint);
+        reportToAudit(endpoint);
+        audit.trace(clock.now(), group.id(), "discovery published " + endpoint);
         proxy.accept(new BrokerEvent.EndpointsUpdated(EndpointUpdateKind.INCREMENTAL, List.of(endpoint)));
-        if (trustLateRoles && endpoint.role() == Role.PRIMARY) {
+        if (trustListedRoles && endpoint.role() == Role.PRIMARY) {
             LoadReport report = new LoadReport(clock.now(), Role.PRIMARY, 0, 0, Double.NaN);
             proxy.accept(new BrokerEvent.HealthCheckEnded(endpoint.id(), AttemptResult.OK, 0, report));
         }
     }
 
-    /** Sends a proxy that has just started the whole list. */
-    void publishAll(List<SimulatedGroup> groups, int members) {
+    /** Publishes the full list to a proxy that has just started. */
+    void publishFullList(List<SimulatedGroup> groups, int members) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (SimulatedGroup group : groups) {
             for (int member = 0; member < members; member++) {
                 Endpoint endpoint = group.endpoint(member);
-                recordListed(endpoint);
+                reportToAudit(endpoint);
                 endpoints.add(endpoint);
             }
         }
         proxy.accept(new BrokerEvent.EndpointsUpdated(EndpointUpdateKind.RESTORED, endpoints));
     }
 
-    private void recordListed(Endpoint endpoint) {
-        audit.onListed(clock.now(), endpoint.id(), endpoint.status() != EndpointStatus.LIVE);
+    private void reportToAudit(Endpoint endpoint) {
+        audit.onEndpointPublished(clock.now(), endpoint.id(), endpoint.status() != EndpointStatus.LIVE);
     }
 }
--- a/src/main/java/crankwick/simulation/SimulatedGroup.java
+++ b/src/main/java/crankwick/simulation/SimulatedGroup.java
@@ -5,7 +5,7 @@
 import crankwick.routing.api.EndpointStatus;
 import crankwick.routing.api.Role;
 
-/** A modelled group of databases, and what the endpoint list shows of it, which lags behind. */
+/** A modelled group of databases, and its entries in the endpoint list, which lag behind. */
 final class SimulatedGroup {
     private final int id;
     private final GroupModel model;
@@ -14,7 +14,7 @@
     private long timerDueAt = Long.MAX_VALUE;
     private int lastLeader;
 
-    /** A group whose member 0 leads. */
+    /** Creates a group with member 0 as the leader. */
     SimulatedGroup(int id, GroupModel model, int members) {
         this.id = id;
         this.model = model;
@@ -33,7 +33,7 @@
         return model;
     }
 
-    /** When the model's next timer is scheduled; Long.MAX_VALUE for never. */
+    /** When the model's next timer is scheduled; Long.MAX_VALUE if none is. */
     long timerDueAt() {
         return timerDueAt;
     }
@@ -50,12 +50,12 @@
         lastLeader = member;
     }
 
-    void listRole(int member, Role role) {
+    void setListedRole(int member, Role role) {
         listedRoles[member] = role;
     }
 
-    /** Lists a member's start as it is now. */
-    void listStart(int member) {
+    /** Sets the listed start time of a member to its current one. */
+    void setListedStart(int member) {
         listedStarts[member] = model.startedAt(member);
     }
 
@@ -67,17 +67,17 @@
         return "g" + group + "m" + member;
     }
 
-    /** The group of the member with that id. */
+    /** The group of the member with the given endpoint id. */
     static int groupOf(String endpointId) {
         return Integer.parseInt(endpointId.substring(1, endpointId.indexOf('m')));
     }
 
-    /** The index in its group of the member with that id. */
+    /** The index within its group of the member with the given endpoint id. */
     static int memberOf(String endpointId) {
         return Integer.parseInt(endpointId.substring(endpointId.indexOf('m') + 1));
     }
 
-    /** A member as the list shows it. */
+    /** The list entry of a member. */
     Endpoint endpoint(int member) {
         EndpointStatus status = model.isDraining(member) ? EndpointStatus.DRAINING : EndpointStatus.LIVE;
         return new Endpoint(endpointId(member), 0, id, listedRoles[member], status, listedStarts[member]);
--- a/src/main/java/crankwick/simulation/SimulatedProxy.java
+++ b/src/main/java/crankwick/simulation/SimulatedProxy.java
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The proxy under test: the real broker, whose effects are carried out on the simulated network and clients. */
+/** The proxy under test: the production broker, whose effects are executed on the simulated network and clients. */
 final class SimulatedProxy {
     private final SimulatedClock clock;
     private final SimulationRandom random;
     private final FailoverAudit audit;
     private final ModelNetwork network;
     private final SimulatedClients clients;
-    /** A deliberate defect: a request that was buffered is sent twice. */
-    private final boolean sendsBufferedTwice;
+    /** Deliberate defect: reports each attempt to the audit twice once a buffered request has been released. */
+    private final boolean reportsAttemptsTwice;
 
     private Broker broker;
     private long generation;
@@ -29,49 +29,49 @@
             FailoverAudit audit,
             ModelNetwork network,
             SimulatedClients clients,
-            boolean sendsBufferedTwice) {
+            boolean reportsAttemptsTwice) {
         this.clock = clock;
         this.random = random;
         this.audit = audit;
         this.network = network;
         this.clients = clients;
-        this.sendsBufferedTwice = sendsBufferedTwice;
+        this.reportsAttemptsTwice = reportsAttemptsTwice;
     }
 
-    /** Starts a new process, which knows nothing of an earlier one; {@code failover} may be null for none. */
+    /** Starts a new process without the state of an earlier one; {@code failover} is null for no coordinator. */
     void start(RoutingSettings routing, FailoverSettings failover) {
         generation++;
         clients.onProxyStarted();
         broker = new Broker(routing, random.nextSeed(), Map.of("", Contract.UNLIMITED), failover);
     }
 
-    /** Requests that are buffered now. */
-    long buffered() {
+    /** The number of requests that are currently buffered. */
+    long bufferedRequests() {
         FailoverCoordinator coordinator = broker.failoverCoordinator();
         return coordinator == null ? 0 : coordinator.bufferedRequests();
     }
 
-    private long failoversSeen() {
+    private long detectedFailovers() {
         FailoverCoordinator coordinator = broker.failoverCoordinator();
         return coordinator == null ? 0 : coordinator.counters().failovers();
     }
 
-    private long released() {
+    private long releasedRequests() {
         FailoverCoordinator coordinator = broker.failoverCoordinator();
         return coordinator == null ? 0 : coordinator.counters().released();
     }
 
     void handle(BrokerEvent event) {
-        long failoversBefore = failoversSeen();
-        long releasedBefore = released();
+        long failoversBefore = detectedFailovers();
+        long releasedBefore = releasedRequests();
         List<Effect> effects = broker.reduce(event, clock.now());
-        if (failoversSeen() > failoversBefore) {
-            audit.onReleased(clock.now(), (int) (released() - releasedBefore));
+        if (detectedFailovers() > failoversBefore) {
+            audit.onReleased(clock.now(), (int) (releasedRequests() - releasedBefore));
         }
-        effects.forEach(this::carryOut);
+        effects.forEach(this::execute);
     }
 
-    private void carryOut(Effect effect) {
+    private void execute(Effect effect) {
         if (effect instanceof Effect.SendAttempt e) {
             send(e);
         } else if (effect instanceof Effect.SendReply e) {
@@ -92,21 +92,21 @@
     private void send(Effect.SendAttempt attempt) {
         long requestId = attempt.requestId();
         network.send(attempt, clients.idempotencyKeyOf(requestId), clients.requiredPositionOf(requestId));
-        if (sendsBufferedTwice && broker.failoverCoordinator().counters().released() > 0) {
+        if (reportsAttemptsTwice && broker.failoverCoordinator().counters().released() > 0) {
             audit.onAttemptSent(clock.now(), requestId, attempt.endpointId());
         }
     }
 
     private void scheduleTimer(Effect.ScheduleTimer timer) {
-        long expected = generation;
+        long expectedGeneration = generation;
         clock.scheduleAfter(timer.delay(), () -> {
-            if (expected == generation) {
+            if (expectedGeneration == generation) {
                 handle(timer.event());
             }
         });
     }
 
-    /** The proxy's lines begin with "group N" or a member's id. */
+    /** Log lines of the broker start with "group N" or with an endpoint id; 0 if neither matches. */
     private static int groupOfLogLine(String line) {
         int from = line.startsWith("group ") ? "group ".length() : 1;
         int to = from;
--- a/src/main/java/crankwick/simulation/SimulationRandom.java
+++ b/src/main/java/crankwick/simulation/SimulationRandom.java
@@ -4,7 +4,7 @@
 
 import java.util.SplittableRandom;
 
-/** The draws of one run: the same seed gives the same ones, in the order in which they are asked for. */
+/** Random numbers of one run; the same seed gives the same sequence. */
 final class SimulationRandom {
     private static final int SLOW_TRANSFERS_PER_TEN_THOUSAND = 100;
 
@@ -18,7 +18,7 @@
         return random.nextLong();
     }
 
-    /** Uniform from {@code min} up to, and without, {@code max}. */
+    /** Uniform from {@code min} inclusive to {@code max} exclusive. */
     long between(long min, long max) {
         return min + random.nextLong(max - min);
     }
@@ -31,22 +31,22 @@
         return random.nextBoolean();
     }
 
-    /** Uniform from 0 to 99. */
+    /** Uniform from 0 to 99, inclusive. */
     int nextPercent() {
         return random.nextInt(100);
     }
 
-    /** Uniform from 0 to 1, without 1. */
-    double nextShare() {
+    /** Uniform from 0 inclusive to 1 exclusive. */
+    double nextFraction() {
         return random.nextDouble();
     }
 
-    /** A time between events that come independently, of the given mean. */
+    /** Exponentially distributed time between independent events, with the given mean. */
     long exponential(double mean) {
         return (long) (-Math.log(1 - random.nextDouble()) * mean);
     }
 
-    /** One way over the network: mostly under half a millisecond, now and then some twenty. */
+    /** One-way network delay: 0.1 to 0.5 ms; 1 to 20 ms for 1 % of transfers. */
     long networkDelay() {
         return chance(SLOW_TRANSFERS_PER_TEN_THOUSAND) ? between(MILLIS, 20 * MILLIS) : between(100, 500);
     }
--- a/src/main/java/crankwick/simulation/SimulationSettings.java
+++ b/src/main/java/crankwick/simulation/SimulationSettings.java
@@ -18,12 +18,12 @@
 
 /** The settings of the simulated proxy. */
 final class SimulationSettings {
-    /** Positions of the classes in {@link #routing}. */
+    /** Indexes of the request classes in {@link #routing}. */
     static final int SESSION_READ = 0;
 
     static final int STRONG_READ = 1;
     static final int WRITE = 2;
-    /** How long databases remember an idempotency key. */
+    /** How long databases keep an idempotency key for deduplication. */
     static final long KEY_TTL_MICROS = 2 * SECONDS;
 
     private static final long CONNECT_TIMEOUT_MICROS = 250 * MILLIS;
@@ -31,7 +31,7 @@
 
     private SimulationSettings() {}
 
-    /** A session read, a strong read, and a write with an idempotency key of the given TTL. */
+    /** Settings with three request classes: session read, strong read, and write with the given key TTL. */
     static RoutingSettings routing(long keyTtlMicros) {
         return new RoutingSettings(
                 1,
@@ -86,7 +86,7 @@
                 0.5);
     }
 
-    /** The same settings without a limit on the requests that are released at once. */
+    /** Returns the same settings with practically no limit on buffered requests released at once. */
     static FailoverSettings withoutPacing(FailoverSettings settings) {
         return new FailoverSettings(
                 settings.maxBufferedPerGroup(),
--- a/src/main/java/crankwick/simulation/Violation.java
+++ b/src/main/java/crankwick/simulation/Violation.java
@@ -1,6 +1,6 @@
 package crankwick.simulation;
 
-/** What must not happen in a run, in the order in which it is reported. */
+/** Violations that the audit detects, in the order of the report. */
 enum Violation {
     APPLIED_TWICE("applied_twice"),
     SERVED_NOT_APPLIED("served_not_applied"),
@@ -10,8 +10,8 @@
     REJECTED_IN_DOUBT("refused_in_doubt"),
     LATE_REPLY("answers_late"),
     MISSING_REPLY("answers_missing"),
-    SENT_TO_DRAINED("drain_violations"),
-    RELEASED_TOO_MANY("pace_violations"),
+    SENT_AFTER_DRAIN_GRACE("drain_violations"),
+    RELEASE_LIMIT_EXCEEDED("pace_violations"),
     MEMBER_COLLAPSED("fallen");
 
     private final String figure;
@@ -20,7 +20,7 @@
         this.figure = figure;
     }
 
-    /** Its name in the figures of a run. */
+    /** The name in the figures of a run. */
     String figure() {
         return figure;
     }
--- a/src/main/java/crankwick/simulation/ViolationLog.java
+++ b/src/main/java/crankwick/simulation/ViolationLog.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** Counts violations, and keeps the first one with the trace that leads to it. */
+/** Counts violations and records the first one with its trace. */
 final class ViolationLog {
     private static final long NONE = -1;
 
@@ -14,7 +14,7 @@
     private String first;
     private long failoversBeforeFirst = NONE;
 
-    /** Violations of a run, of which {@code failovers} counts the failovers so far. */
+    /** Creates an empty log; {@code failovers} returns the number of failovers so far. */
     ViolationLog(AuditTrace trace, LongSupplier failovers) {
         this.trace = trace;
         this.failovers = failovers;
@@ -24,7 +24,7 @@
         add(violation, now, group, requestId, null, message);
     }
 
-    /** Counts a violation that concerns a request and, where it is not null, an idempotency key. */
+    /** Records a violation that concerns a request and, unless null, an idempotency key. */
     void add(Violation violation, long now, int group, long requestId, String key, String message) {
         counts.merge(violation, 1L, Long::sum);
         trace.add(now, group, requestId, "VIOLATION " + message);
@@ -39,12 +39,12 @@
         return counts;
     }
 
-    /** The first violation with its trace; null for none. */
+    /** The first violation with its trace; null if there is none. */
     String first() {
         return first;
     }
 
-    /** How many failovers came before the first violation; -1 for no violation. */
+    /** The number of failovers before the first violation; -1 without a violation. */
     long failoversBeforeFirst() {
         return failoversBeforeFirst;
     }
--- a/src/main/java/crankwick/simulation/WatchingProxy.java
+++ b/src/main/java/crankwick/simulation/WatchingProxy.java
@@ -5,13 +5,13 @@
 
 import crankwick.discovery.EndpointWatch;
 
-/** One proxy's watch of the endpoint list, and its call as discovery sees it. */
+/** One proxy's watch of the endpoint list, and the state of its current call at discovery. */
 final class WatchingProxy implements EndpointWatch.Calls {
     private static final long NETWORK_DELAY_MICROS = 2 * MILLIS;
-    /** When a drain counts as known that silence, or discovery's turns, hold back. */
-    private static final long KNOWN_AFTER_SILENCE_MICROS = 6 * SECONDS;
+    /** When a drain takes effect for a proxy whose call is stalled or not yet admitted; see {@link EndpointWatch}. */
+    private static final long EFFECTIVE_AFTER_STALL_MICROS = 6 * SECONDS;
 
-    private static final long KNOWN_AFTER_HOLD_MICROS = 2 * SECONDS;
+    private static final long EFFECTIVE_AFTER_POLL_TIMEOUT_MICROS = 2 * SECONDS;
     private static final long NO_CALL = 0;
 
     private final int number;
@@ -20,17 +20,18 @@
     private final long timerDelay;
     private final EndpointWatch watch;
     private long version;
-    private long call;
-    private long callFrom;
-    /** The call is held by discovery; its connection has fallen silent. */
-    private boolean held;
-
-    private boolean silent;
-    private long silentSince;
-    private long heldUntil;
-    private long answeredAt;
-
-    /** A proxy that knows the present version; {@code timerDelay} is how late each of its timers is. */
+    private long currentCall;
+    private long currentFromVersion;
+    /** Whether discovery holds the current call as a long poll. */
+    private boolean pollPending;
+    /** Whether the connection of the pending long poll no longer delivers data, without being closed. */
+    private boolean stalled;
+
+    private long stalledSince;
+    private long pollTimeoutAt;
+    private long lastResponseAt;
+
+    /** Creates a proxy with the current version of the list; each of its timers is delayed by {@code timerDelay}. */
     WatchingProxy(int number, SimulatedClock clock, PolledDiscovery discovery, long timerDelay, long seed) {
         this.number = number;
         this.clock = clock;
@@ -44,7 +45,7 @@
         return number;
     }
 
-    /** The version of the endpoint list that it knows. */
+    /** The version of the endpoint list that the proxy has received. */
     long version() {
         return version;
     }
@@ -65,99 +66,100 @@
         }
     }
 
-    /** Nothing that discovery sends on a held call arrives from now on. */
-    void fallSilent() {
-        silent = held;
-        silentSince = clock.now();
+    /** Stalls the connection of a pending long poll: no response arrives on it from now on. */
+    void stallConnection() {
+        stalled = pollPending;
+        stalledSince = clock.now();
     }
 
-    void resetHeldCall() {
-        if (held) {
-            fail(call);
+    void resetPendingPoll() {
+        if (pollPending) {
+            fail(currentCall);
         }
     }
 
-    /** Discovery has a new version, which it sends on a held call. */
-    void onPublished() {
-        if (held && !silent) {
-            answer(call);
+    /** Discovery has published a new version, which it sends in response to a pending long poll. */
+    void onVersionPublished() {
+        if (pollPending && !stalled) {
+            respond(currentCall);
         }
     }
 
-    /** By when a drain that begins now counts as known here. */
-    long drainKnownAt() {
-        if (silent) {
-            return Math.max(silentSince + KNOWN_AFTER_SILENCE_MICROS, heldUntil + KNOWN_AFTER_HOLD_MICROS);
+    /** When a drain that starts now takes effect for this proxy. */
+    long drainEffectiveAt() {
+        if (stalled) {
+            return Math.max(
+                    stalledSince + EFFECTIVE_AFTER_STALL_MICROS, pollTimeoutAt + EFFECTIVE_AFTER_POLL_TIMEOUT_MICROS);
         }
-        return clock.now() + (held ? 0 : KNOWN_AFTER_SILENCE_MICROS);
+        return clock.now() + (pollPending ? 0 : EFFECTIVE_AFTER_STALL_MICROS);
     }
 
     @Override
-    public void open(long opened, long from, long hold) {
-        call = opened;
-        callFrom = from;
+    public void open(long call, long fromVersion, long longPollTimeout) {
+        currentCall = call;
+        currentFromVersion = fromVersion;
         discovery.countCall();
-        clock.scheduleAfter(NETWORK_DELAY_MICROS, () -> arrive(opened, hold));
+        clock.scheduleAfter(NETWORK_DELAY_MICROS, () -> onCallReceived(call, longPollTimeout));
     }
 
-    private void arrive(long arrived, long hold) {
-        if (arrived != call) {
+    private void onCallReceived(long call, long longPollTimeout) {
+        if (call != currentCall) {
             return;
         }
         long now = clock.now();
-        handle(() -> watch.onConnected(arrived, now));
-        long wait = discovery.admit(answeredAt);
-        if (wait == PolledDiscovery.REJECTED) {
-            fail(arrived);
+        handle(() -> watch.onConnected(call, now));
+        long queueDelay = discovery.admit(lastResponseAt);
+        if (queueDelay == PolledDiscovery.REJECTED) {
+            fail(call);
         } else {
-            clock.scheduleAfter(wait, () -> hold(arrived, Math.max(0, hold - wait)));
+            clock.scheduleAfter(queueDelay, () -> startPoll(call, Math.max(0, longPollTimeout - queueDelay)));
         }
     }
 
-    private void hold(long admitted, long duration) {
-        if (admitted != call) {
+    private void startPoll(long call, long duration) {
+        if (call != currentCall) {
             return;
         }
-        if (callFrom < discovery.version()) {
-            answer(admitted);
+        if (currentFromVersion < discovery.version()) {
+            respond(call);
             return;
         }
-        held = true;
-        heldUntil = clock.now() + duration;
+        pollPending = true;
+        pollTimeoutAt = clock.now() + duration;
         clock.scheduleAfter(duration, () -> {
-            if (admitted == call && held && !silent) {
-                answer(admitted);
+            if (call == currentCall && pollPending && !stalled) {
+                respond(call);
             }
         });
     }
 
-    private void answer(long answered) {
-        held = false;
-        answeredAt = clock.now();
-        long sentVersion = discovery.version();
+    private void respond(long call) {
+        pollPending = false;
+        lastResponseAt = clock.now();
+        long responseVersion = discovery.version();
         clock.scheduleAfter(
                 NETWORK_DELAY_MICROS,
                 () -> handle(() -> {
-                    if (watch.onResponse(answered, sentVersion, true, clock.now())) {
-                        version = sentVersion;
+                    if (watch.onResponse(call, responseVersion, true, clock.now())) {
+                        version = responseVersion;
                     }
                 }));
     }
 
-    private void fail(long failed) {
-        held = false;
-        clock.scheduleAfter(NETWORK_DELAY_MICROS, () -> handle(() -> watch.onFailure(failed, clock.now())));
+    private void fail(long call) {
+        pollPending = false;
+        clock.scheduleAfter(NETWORK_DELAY_MICROS, () -> handle(() -> watch.onFailure(call, clock.now())));
     }
 
     @Override
-    public void end(long ended) {
-        call = NO_CALL;
-        held = false;
-        silent = false;
+    public void end(long call) {
+        currentCall = NO_CALL;
+        pollPending = false;
+        stalled = false;
     }
 
     @Override
-    public void detach(long left) {
-        end(left);
+    public void detach(long call) {
+        end(call);
     }
 }
--- a/src/main/java/crankwick/simulation/package-info.java
+++ b/src/main/java/crankwick/simulation/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Experiments in simulated time: the real broker over modelled groups of databases, and an audit of the rules.
+ * Deterministic simulations: the production broker against modelled groups of databases, with an audit of every step.
  */
 package crankwick.simulation;
--- a/src/test/java/crankwick/simulation/FailoverSimulationTest.java
+++ b/src/test/java/crankwick/simulation/FailoverSimulationTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Failovers by seed: none breaks a rule, and each deliberate defect is found. */
+/** Simulated failovers by seed: no violations without a defect, and each deliberate defect is detected. */
 public class FailoverSimulationTest {
     private final Map<Boolean, List<FailoverReport>> reports = new HashMap<>();
 
@@ -32,7 +32,7 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void noFailoverBreaksARuleAndMostReachableWritesAreServed(int seed) {
+    public void noViolationsAndMostReachableWritesServed(int seed) {
         FailoverSimulation simulation = simulation(120, seed, true, Defect.NONE);
         FailoverReport report = simulation.run();
         assertNull(simulation.firstViolation(), simulation.firstViolation());
@@ -51,12 +51,12 @@
             {Defect.RESEND_AFTER_WINDOW, Violation.APPLIED_TWICE},
             {Defect.LATE_LIST_BELIEVED, Violation.MISDIRECTED_WRITE},
             {Defect.HELD_SENT_TWICE, Violation.CONCURRENT_ATTEMPTS},
-            {Defect.RELEASE_WITHOUT_PACE, Violation.RELEASED_TOO_MANY}
+            {Defect.RELEASE_WITHOUT_PACE, Violation.RELEASE_LIMIT_EXCEEDED}
         };
     }
 
     @Test(dataProvider = "defects")
-    public void deliberateDefectIsFoundWithinTwoHundredFailovers(Defect defect, Violation expected) {
+    public void deliberateDefectIsDetectedWithinTwoHundredFailovers(Defect defect, Violation expected) {
         FailoverSimulation simulation = simulation(200, 1, true, defect);
         FailoverReport report = simulation.run();
         String figures = report.figures().toString();
@@ -67,11 +67,11 @@
 
     @Test
     public void sameSeedGivesTheSameRun() {
-        Map<String, Object> one = simulation(30, 7, true, Defect.NONE).run().figures();
-        Map<String, Object> two = simulation(30, 7, true, Defect.NONE).run().figures();
-        one.remove("took_s");
-        two.remove("took_s");
-        assertEquals(one, two);
+        Map<String, Object> first = simulation(30, 7, true, Defect.NONE).run().figures();
+        Map<String, Object> second = simulation(30, 7, true, Defect.NONE).run().figures();
+        first.remove("took_s");
+        second.remove("took_s");
+        assertEquals(first, second);
     }
 
     @Test
@@ -87,12 +87,13 @@
                         + " mean_wait_of_refused_writes_ms reasons held_max restarts simulated_s seed took_s");
     }
 
-    /** Beside the router alone: fewer are lost. One seed differs by 0.02 from the next, hence the mean of four. */
+    /** Compares with the router alone. The served share varies by 0.02 between seeds, hence the mean of four. */
     @Test
-    public void bufferingServesMoreAndRejectsSooner() {
+    public void bufferingServesMoreWritesAndRejectsSooner() {
         assertTrue(mean(true, this::servedShare) > mean(false, this::servedShare));
-        ToDoubleFunction<FailoverReport> wait = report -> report.audit().meanRejectionWaitMillis();
-        assertTrue(mean(true, wait) < mean(false, wait));
+        ToDoubleFunction<FailoverReport> rejectionWait =
+                report -> report.audit().meanRejectionWaitMillis();
+        assertTrue(mean(true, rejectionWait) < mean(false, rejectionWait));
     }
 
     private double servedShare(FailoverReport report) {
