--- a/src/test/java/crankwick/discovery/EndpointWatchTest.java
+++ b/src/test/java/crankwick/discovery/EndpointWatchTest.java
@@ -30,7 +30,7 @@
     public void everyDrainIsReceivedInTime(int proxies, int seed) {
         DrainSimulation simulation = simulation(proxies, seed, 0);
         Map<String, Object> figures = simulation.run().figures();
-        assertNull(simulation.violation(), simulation.violation());
+        assertNull(simulation.firstViolation(), simulation.firstViolation());
         assertEquals(figures.get("heard_late"), 0L);
         assertEquals(figures.get("not_heard"), 0L);
         double perSecond = (double) figures.get("calls_per_proxy_s");
@@ -42,7 +42,7 @@
     public void lateTimersAreDetected() {
         DrainSimulation simulation = simulation(120, 5, 5 * SECOND);
         assertTrue((long) simulation.run().figures().get("heard_late") > 0);
-        assertNotNull(simulation.violation());
+        assertNotNull(simulation.firstViolation());
     }
 
     /** Records the requested versions, and the ended or detached calls as negative numbers. */
