--- a/src/test/java/crankwick/app/BothWiresFixture.java
+++ b/src/test/java/crankwick/app/BothWiresFixture.java
@@ -5,24 +5,24 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 
-/** What the checks on sockets share: both wires, and requests whose numbers tell whose answer it is. */
+/** Base of the socket tests: both wires, and statements whose request ids identify the answers to them. */
 abstract class BothWiresFixture {
-    private int ids;
+    private int lastId;
 
-    /** Both wires. */
+    /** The PostgreSQL and TDS clients. */
     @DataProvider
     public Object[][] wires() {
         return new Object[][] {{new PgTestClient()}, {new TdsTestClient()}};
     }
 
-    final String statement(String className, int wait, String more) {
-        String key = className.equals("reserve") ? ",k=5c0f6e1a2b3d" + (ids + 1) : "";
-        return "/* id=" + ++ids + ",c=" + className + ",d=" + wait + key + ",cluster=0" + more
+    final String statement(String className, int deadlineMs, String extraHints) {
+        String key = className.equals("reserve") ? ",k=5c0f6e1a2b3d" + (lastId + 1) : "";
+        return "/* id=" + ++lastId + ",c=" + className + ",d=" + deadlineMs + key + ",cluster=0" + extraHints
                 + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
     }
 
     final String lastId() {
-        return Integer.toString(ids);
+        return Integer.toString(lastId);
     }
 
     final void assertServedBy(TestWireClient.Answer answer, String server) {
--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -18,11 +18,11 @@
 import java.util.concurrent.TimeUnit;
 import org.tomlj.Toml;
 
-/** The real program as a process, a group of three databases, and the list that names them. */
+/** Runs the program as a process, with a group of three scripted databases and the endpoint list that names them. */
 final class Deployment implements AutoCloseable {
     private static final Path OPERATOR_FILE = Path.of("deploy/tds.toml");
 
-    /** A client connection that has asked once, so that a test may let it wait before it asks for more. */
+    /** A client whose login and first query are complete, so that a test may leave it idle before the next query. */
     final class Client implements AutoCloseable {
         final Socket socket;
         final DataInputStream in;
@@ -32,7 +32,7 @@
             wire.login(socket, team);
             in = new DataInputStream(socket.getInputStream());
             if (!execute("").kind().equals("EMPTY")) {
-                throw new IOException("the empty query is not answered");
+                throw new IOException("the empty query got no empty answer");
             }
         }
 
@@ -62,29 +62,30 @@
     final List<ScriptedDatabase> databases = new ArrayList<>();
     final List<String> log = new CopyOnWriteArrayList<>();
     final Process process;
-    /** Fills the log; ends when the program has. */
-    private Thread reader;
+    /** Collects the log; ends with the program. */
+    private Thread logReader;
 
-    private final Path folder = Files.createTempDirectory("crankwick");
+    private final Path directory = Files.createTempDirectory("crankwick");
     private final Map<String, String> states = new LinkedHashMap<>();
     ScriptedDiscovery discovery;
-    private final Path config = folder.resolve("config");
+    private final Path config = directory.resolve("config");
     private String zoneFile = "stations.zone";
     private final int port;
     private int version = 1;
-    /** Watches that are open now are never answered. */
-    private int unansweredCalls;
+    /** Calls to discovery with a lower number are never answered. */
+    private int firstAnsweredCall;
 
     private int watchCalls;
-    /** Bytes that the system keeps for a client which does not read; as it likes where 0. */
+    /** Receive buffer of a client's socket in bytes; the system's default if 0. */
     volatile int receiveBufferBytes;
-    /** Databases of other groups that the list names besides. */
+    /** Number of databases of other groups in the list. */
     volatile int otherGroupEndpoints;
-    /** An entry that can't be read stands before the rest, and where those that drain are can't be read. */
+    /** Adds malformed entries to the list, and omits the ports of draining databases. */
     volatile boolean hasMalformedEntries;
-    /** How long a call waits its turn; until when the last one is held. */
+    /** Delay before discovery handles a call. */
     private int callDelayMs;
 
+    /** When the hold of the last call ends, by {@link System#nanoTime}. */
     private long watchHoldEndsAt;
 
     Deployment(TestWireClient wire) throws IOException, InterruptedException {
@@ -118,7 +119,7 @@
         Thread.sleep(500);
     }
 
-    /** Discovery is at another place from now on, as the new configuration says; the old one. */
+    /** Moves discovery to another address, reloads the configuration with it and returns the old discovery. */
     ScriptedDiscovery moveDiscovery() throws IOException, InterruptedException {
         return moveDiscovery(this::answerWatch);
     }
@@ -153,32 +154,32 @@
     }
 
     private int awaitPort() throws IOException, InterruptedException {
-        reader = collectLog(process, log);
+        logReader = collectLog(process, log);
         return awaitListenPort(log, 0);
     }
 
-    /** Fills a log that is safe to read meanwhile; ends when the program has. */
+    /** Collects the output of a process in a thread that ends with it; the log must be safe for concurrent reads. */
     static Thread collectLog(Process process, List<String> log) {
-        Thread reader = new Thread(
+        Thread logReader = new Thread(
                 () -> new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))
                         .lines()
                         .forEach(log::add));
-        reader.setDaemon(true);
-        reader.start();
-        return reader;
+        logReader.setDaemon(true);
+        logReader.start();
+        return logReader;
     }
 
-    /** The port of the program's front, of several the one that comes up at that place. */
+    /** Waits for the program's listener with this index, in the order of start, and returns its port. */
     static int awaitListenPort(List<String> log, int index) throws IOException, InterruptedException {
         for (int i = 0; i < 1_500; i++) {
-            List<String> fronts =
+            List<String> listeningLines =
                     log.stream().filter(line -> line.contains("listening on")).toList();
-            if (fronts.size() > index) {
-                return Integer.parseInt(fronts.get(index).replaceAll(".*:", ""));
+            if (listeningLines.size() > index) {
+                return Integer.parseInt(listeningLines.get(index).replaceAll(".*:", ""));
             }
             Thread.sleep(20);
         }
-        throw new IOException("not listening: " + log);
+        throw new IOException("did not listen within 30 s: " + log);
     }
 
     private String platformConfig() throws IOException {
@@ -203,7 +204,7 @@
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMs + hold);
             watchHoldEndsAt = until;
             pause(callDelayMs);
-            while (from >= version && System.nanoTime() < until || call < unansweredCalls) {
+            while (from >= version && System.nanoTime() < until || call < firstAnsweredCall) {
                 pause(50);
             }
             return json(from);
@@ -217,15 +218,16 @@
     }
 
     /**
-     * The open watch falls silent, and another then waits its turn for so long. Returns when what it misses
-     * counts as told, by {@link System#nanoTime}: 6 s from now, or 2 s after its hold.
+     * Leaves the open watch unanswered, and delays each later call by {@code nextCallDelayMs}. Returns the time, by
+     * {@link System#nanoTime}, from which the changes that this watch misses count as announced: 6 s from now, or 2 s
+     * after the end of the watch's hold if that is later.
      */
     long silenceWatch(int nextCallDelayMs) throws InterruptedException {
         synchronized (states) {
             while (watchHoldEndsAt < System.nanoTime()) {
                 pause(50);
             }
-            unansweredCalls = watchCalls;
+            firstAnsweredCall = watchCalls;
             callDelayMs = nextCallDelayMs;
             return Math.max(
                     System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchHoldEndsAt + TimeUnit.SECONDS.toNanos(2));
@@ -242,7 +244,7 @@
         for (ScriptedDatabase d : databases) {
             entries.add((hasMalformedEntries && d.name.equals("s-a") ? "{\"id\":\"s-x\",\"state\":\"odd\"}," : "")
                     + "{\"id\":\"" + d.name + "\",\"addr\":\"127.0.0.1"
-                    + (isUnreadable(d) ? "" : ":" + d.listener.getLocalPort())
+                    + (lacksPort(d) ? "" : ":" + d.listener.getLocalPort())
                     + "\",\"zone\":\"ulemiste\",\"cell\":0,\"state\":\"" + states.get(d.name)
                     + "\",\"mode\":\"" + d.mode + "\",\"started_ms\":0}");
         }
@@ -250,7 +252,7 @@
                 + "]}";
     }
 
-    private boolean isUnreadable(ScriptedDatabase d) {
+    private boolean lacksPort(ScriptedDatabase d) {
         return hasMalformedEntries && states.get(d.name).equals("draining");
     }
 
@@ -261,7 +263,7 @@
                     .append("@ IN PTR ")
                     .append(d.name)
                     .append("._tds._tcp.stations.example.\n");
-            if (!isUnreadable(d)) {
+            if (!lacksPort(d)) {
                 zone.append(d.name)
                         .append(" IN SRV 0 0 ")
                         .append(d.listener.getLocalPort())
@@ -274,24 +276,27 @@
                     .append(states.get(d.name))
                     .append('\n');
         }
-        Path whole = Files.writeString(folder.resolve("new.zone"), zone);
+        Path newFile = Files.writeString(directory.resolve("new.zone"), zone);
         Files.move(
-                whole, folder.resolve(zoneFile), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+                newFile,
+                directory.resolve(zoneFile),
+                StandardCopyOption.REPLACE_EXISTING,
+                StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Changes the list, and gives the program time to hear of it. */
+    /** Changes the state of one database in the list, and waits 1 s for the program to receive it. */
     void publishState(ScriptedDatabase database, String state) throws IOException, InterruptedException {
         publishStates(Map.of(database.name, state));
     }
 
-    /** Only this database drains; the change is told at once, as above. */
+    /** Changes this database to draining and the others to up, in one update of the list; waits as above. */
     void drainOnly(ScriptedDatabase database) throws IOException, InterruptedException {
         Map<String, String> all = new LinkedHashMap<>();
         databases.forEach(d -> all.put(d.name, d == database ? "draining" : "up"));
         publishStates(all);
     }
 
-    /** As above, several at once. */
+    /** Changes the states of several databases in one update of the list; waits as above. */
     void publishStates(Map<String, String> changed) throws IOException, InterruptedException {
         synchronized (states) {
             states.putAll(changed);
@@ -325,18 +330,18 @@
         return databases.subList(1, 3);
     }
 
-    /** Lines of the log at level ERROR; a request's outcome in a line of another level has that name too. */
+    /** Log lines at level ERROR; lines at other levels may contain the word as a request's outcome. */
     List<String> errorLines() {
         return log.stream().filter(line -> line.matches("\\[[^]]*\\] ERROR .*")).toList();
     }
 
-    /** Tells the program to end and waits for that; what it counted, as it says last. */
+    /** Sends SIGTERM, waits for the program to end and returns the log line with its counters. */
     String terminate() throws IOException, InterruptedException {
         process.toHandle().destroy();
         if (!process.waitFor(10, TimeUnit.SECONDS)) {
-            throw new IOException("does not end");
+            throw new IOException("the program did not end within 10 s of SIGTERM");
         }
-        reader.join();
+        logReader.join();
         return log.stream()
                 .filter(line -> line.contains("counters: "))
                 .findAny()
--- a/src/test/java/crankwick/app/FailoverIT.java
+++ b/src/test/java/crankwick/app/FailoverIT.java
@@ -30,37 +30,37 @@
 import org.tomlj.Toml;
 
 /**
- * The real program before emulated groups that change primaries, on both wires. The properties
- * crankwick.failover.seconds, .changes and .rate make it longer: 60, 20 and 200 are the measurement's.
+ * Runs the program with emulated database groups that fail over, on both wires. The properties
+ * crankwick.failover.seconds, .changes and .rate make the run longer; measurements use 60, 20 and 200.
  */
 public class FailoverIT {
     private static final int GROUPS = 4;
     private static final int CLIENTS = 120;
     private static final int SECONDS = Integer.getInteger("crankwick.failover.seconds", 12);
-    private static final int CHANGES = Integer.getInteger("crankwick.failover.changes", 4);
+    private static final int FAILOVERS = Integer.getInteger("crankwick.failover.changes", 4);
     private static final int RATE = Integer.getInteger("crankwick.failover.rate", 120);
-    private static final long DEADLINE = 3_000_000;
-    private static final long KEY_TTL = 2_000_000;
-    /** For finding the new primary and for the write itself, on a machine that others use too. */
-    private static final long MARGIN = 400_000;
-    /** For the threads of clients and databases beside the proxy: its own slack is 20 ms. */
-    private static final long LATE_SLACK = 1_000_000;
-    /** With this seed the one trouble is a primary's death: the group is without one for 2.9 s at least. */
-    private static final long DEATH_SEED = 3;
+    private static final long DEADLINE_US = 3_000_000;
+    private static final long KEY_TTL_US = 2_000_000;
+    /** Time to find the new primary and to execute the write, on a shared machine. */
+    private static final long MARGIN_US = 400_000;
+    /** For scheduling delays of the client and database threads; the proxy's own slack is 20 ms. */
+    private static final long LATE_SLACK_US = 1_000_000;
+    /** With this seed the only fault is a crash of the primary; the group has no primary for at least 2.9 s. */
+    private static final long PRIMARY_CRASH_SEED = 3;
 
-    private static final int HELD = 12;
-    /** Requests by a multiple of this are writes to the first group. */
+    private static final int BUFFERED_WRITES = 12;
+    /** Requests whose number is a multiple of this are writes to the first group. */
     private static final long WRITES = 3L * GROUPS;
 
     private static final Path OPERATOR_FILE = Path.of("deploy/tds.toml");
 
-    private record Done(int group, String key, long askedAt, long answeredAt, String kind, String code) {}
+    private record Outcome(int group, String key, long sentAt, long answeredAt, String kind, String code) {}
 
-    private final Path folder;
+    private final Path directory;
 
-    /** Makes the folder of the zone files. */
+    /** Creates the directory for the zone files. */
     public FailoverIT() throws IOException {
-        folder = Files.createTempDirectory("handover");
+        directory = Files.createTempDirectory("handover");
     }
 
     @DataProvider
@@ -71,8 +71,9 @@
     }
 
     @Test(dataProvider = "wires")
-    public void everyKeyIsAccountedForOverChangesOfAllKinds(TestWireClient wire, CodecFilter codec) throws Exception {
-        Path zone = folder.resolve(wire.getClass().getSimpleName() + ".zone");
+    public void everyKeyIsAccountedForAcrossFailoversOfAllKinds(TestWireClient wire, CodecFilter codec)
+            throws Exception {
+        Path zone = directory.resolve(wire.getClass().getSimpleName() + ".zone");
         try (DatabaseEmulator emulation =
                 new DatabaseEmulator(codec, GROUPS, 17, new EmulatedEndpointList("ulemiste", zone))) {
             List<String> log = new CopyOnWriteArrayList<>();
@@ -80,9 +81,9 @@
             Thread reader = Deployment.collectLog(proxy, log);
             try {
                 int port = Deployment.awaitListenPort(log, 0);
-                emulation.scheduleFaults(CHANGES, SECONDS * 1_000_000L / (CHANGES + 1));
-                List<Done> done = load(wire, port);
-                judge(done, emulation.executionLog());
+                emulation.scheduleFaults(FAILOVERS, SECONDS * 1_000_000L / (FAILOVERS + 1));
+                List<Outcome> outcomes = runLoad(wire, port);
+                assertOutcomes(outcomes, emulation.executionLog());
             } finally {
                 proxy.toHandle().destroy();
                 proxy.waitFor();
@@ -92,44 +93,44 @@
         }
     }
 
-    /** Guards against what is held for a primary being lost, or sent and not told, when the process ends. */
+    /** Guards against buffered writes that are lost, or sent but not answered, when the process terminates. */
     @Test(dataProvider = "wires")
-    public void whatIsHeldIsAnsweredWhenTheProxyEndsInTheMiddleOfAChange(TestWireClient wire, CodecFilter codec)
+    public void bufferedWritesAreAnsweredWhenTheProxyTerminatesDuringAFailover(TestWireClient wire, CodecFilter codec)
             throws Exception {
-        Path zone = folder.resolve(wire.getClass().getSimpleName() + "-end.zone");
+        Path zone = directory.resolve(wire.getClass().getSimpleName() + "-end.zone");
         try (DatabaseEmulator emulation =
-                new DatabaseEmulator(codec, 1, DEATH_SEED, new EmulatedEndpointList("ulemiste", zone))) {
+                new DatabaseEmulator(codec, 1, PRIMARY_CRASH_SEED, new EmulatedEndpointList("ulemiste", zone))) {
             List<String> log = new CopyOnWriteArrayList<>();
             Process proxy = start(wire, emulation, zone);
             Deployment.collectLog(proxy, log);
-            ConcurrentLinkedQueue<Done> done = new ConcurrentLinkedQueue<>();
+            ConcurrentLinkedQueue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
             List<Thread> clients = new ArrayList<>();
             try {
                 int port = Deployment.awaitListenPort(log, 0);
                 List<Socket> sockets = new ArrayList<>();
-                for (int i = 0; i < HELD; i++) {
+                for (int i = 0; i < BUFFERED_WRITES; i++) {
                     sockets.add(connect(wire, port));
-                    assertEquals(ask(wire, sockets.get(i), WRITES * i).kind(), "SERVED");
+                    assertEquals(execute(wire, sockets.get(i), WRITES * i).kind(), "SERVED");
                 }
                 emulation.scheduleFaults(1, 1);
                 while (emulation.executionLog().leaderlessPeriods().isEmpty()) {
                     Thread.sleep(5);
                 }
-                for (int i = 0; i < HELD; i++) {
+                for (int i = 0; i < BUFFERED_WRITES; i++) {
                     Socket socket = sockets.get(i);
-                    long n = WRITES * (HELD + i);
+                    long n = WRITES * (BUFFERED_WRITES + i);
                     Thread client = new Thread(() -> {
                         try {
-                            done.add(ask(wire, socket, n));
+                            outcomes.add(execute(wire, socket, n));
                         } catch (IOException e) {
-                            done.add(new Done(0, key(n), 0, 0, "LOST", e.toString()));
+                            outcomes.add(new Outcome(0, key(n), 0, 0, "LOST", e.toString()));
                         }
                     });
                     client.start();
                     clients.add(client);
                     Thread.sleep(20);
                 }
-                assertTrue(isChanging(emulation.executionLog()), "over before the end of the process");
+                assertTrue(isFailingOver(emulation.executionLog()), "the failover ended before SIGTERM");
             } finally {
                 proxy.toHandle().destroy();
             }
@@ -137,29 +138,29 @@
                 client.join();
             }
             assertTrue(proxy.waitFor(10, TimeUnit.SECONDS));
-            assertEquals(done.size(), HELD);
+            assertEquals(outcomes.size(), BUFFERED_WRITES);
             assertTrue(
                     emulation.executionLog().isSound(),
                     emulation.executionLog().figures().toString());
-            done.forEach(d -> assertToldAsItWent(d, emulation.executionLog().timesApplied(d.key())));
+            outcomes.forEach(o -> assertConsistent(o, emulation.executionLog().timesApplied(o.key())));
             assertTrue(log.stream().anyMatch(line -> line.contains("handover: failovers=")), log.toString());
         }
     }
 
-    private static void assertToldAsItWent(Done d, int times) {
-        boolean asTold =
-                switch (d.kind()) {
-                    case "SERVED" -> times == 1;
-                    case "REFUSED" -> times == 0;
-                    case "FAILED" -> times <= 1;
+    private static void assertConsistent(Outcome outcome, int timesApplied) {
+        boolean consistent =
+                switch (outcome.kind()) {
+                    case "SERVED" -> timesApplied == 1;
+                    case "REFUSED" -> timesApplied == 0;
+                    case "FAILED" -> timesApplied <= 1;
                     default -> false;
                 };
-        assertTrue(asTold, times + " times: " + d);
+        assertTrue(consistent, timesApplied + " times: " + outcome);
     }
 
-    /** The TDS front alone; or the platform's, to which the operator's file's table holds as well. */
+    /** Starts the program with the TDS listener alone, or with the platform's and the operator's configuration. */
     private Process start(TestWireClient wire, DatabaseEmulator emulation, Path zone) throws Exception {
-        Path operator = folder.resolve("operator.toml");
+        Path operator = directory.resolve("operator.toml");
         Files.writeString(
                 operator,
                 Files.readString(OPERATOR_FILE)
@@ -168,7 +169,7 @@
         Path platform = null;
         if (wire instanceof PgTestClient) {
             platform = Files.writeString(
-                    folder.resolve("config.json"),
+                    directory.resolve("config.json"),
                     "{\"name\":\"n0\","
                             + "\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:" + emulation.listPort()
                             + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":"
@@ -178,8 +179,8 @@
         return Deployment.start(platform, operator);
     }
 
-    private List<Done> load(TestWireClient wire, int port) throws Exception {
-        ConcurrentLinkedQueue<Done> done = new ConcurrentLinkedQueue<>();
+    private List<Outcome> runLoad(TestWireClient wire, int port) throws Exception {
+        ConcurrentLinkedQueue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
         AtomicLong next = new AtomicLong();
         long start = System.nanoTime();
         long total = (long) SECONDS * RATE;
@@ -193,9 +194,9 @@
                         if (socket == null || socket.isClosed()) {
                             socket = connect(wire, port);
                         }
-                        done.add(ask(wire, socket, n));
+                        outcomes.add(execute(wire, socket, n));
                     } catch (IOException e) {
-                        done.add(new Done((int) (n % GROUPS), key(n), 0, 0, "LOST", e.toString()));
+                        outcomes.add(new Outcome((int) (n % GROUPS), key(n), 0, 0, "LOST", e.toString()));
                         socket = null;
                     }
                 }
@@ -206,7 +207,7 @@
         for (Thread client : clients) {
             client.join();
         }
-        return List.copyOf(done);
+        return List.copyOf(outcomes);
     }
 
     private static Socket connect(TestWireClient wire, int port) throws IOException {
@@ -225,17 +226,17 @@
         return isWrite(n) ? "key" + n : null;
     }
 
-    private static long micros() {
+    private static long nowMicros() {
         return ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     }
 
-    private static Done ask(TestWireClient wire, Socket socket, long n) throws IOException {
+    private static Outcome execute(TestWireClient wire, Socket socket, long n) throws IOException {
         String statement = isWrite(n)
                 ? "/* id=" + n + ",c=reserve,d=3000,k=" + key(n) + ",cluster=" + n % GROUPS
                         + " */ INSERT INTO state (uid, val) VALUES ('7f3a9c21e0b4d655', '1') RETURNING val"
                 : "/* id=" + n + ",c=map-view,d=1000,cluster=" + n % GROUPS
                         + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
-        long askedAt = micros();
+        long sentAt = nowMicros();
         wire.send(socket, statement);
         TestWireClient.Answer answer = wire.readAnswer(new DataInputStream(socket.getInputStream()));
         if (answer.kind().equals("CLOSED")) {
@@ -244,66 +245,72 @@
         if (answer.kind().equals("SERVED")) {
             assertEquals(answer.value(), "value of " + n);
         }
-        return new Done((int) (n % GROUPS), key(n), askedAt, micros(), answer.kind(), answer.code());
+        return new Outcome((int) (n % GROUPS), key(n), sentAt, nowMicros(), answer.kind(), answer.code());
     }
 
-    private static void judge(List<Done> done, ExecutionLog ledger) throws Exception {
-        for (int i = 0; i < 100 && isChanging(ledger); i++) {
+    private static void assertOutcomes(List<Outcome> outcomes, ExecutionLog executionLog) throws Exception {
+        for (int i = 0; i < 100 && isFailingOver(executionLog); i++) {
             Thread.sleep(100);
         }
         Thread.sleep(500);
-        Map<String, Object> figures = ledger.figures();
-        String said = figures + " " + ledger.leaderlessPeriods();
-        assertEquals(done.size(), SECONDS * RATE);
-        assertTrue(ledger.changes() >= 1, said);
-        assertEquals(figures.get("applied_twice"), 0L, said);
-        assertEquals(figures.get("second_attempts"), 0L, said);
-        assertEquals(figures.get("fallen"), 0L, said);
+        Map<String, Object> figures = executionLog.figures();
+        String details = figures + " " + executionLog.leaderlessPeriods();
+        assertEquals(outcomes.size(), SECONDS * RATE);
+        assertTrue(executionLog.changes() >= 1, details);
+        assertEquals(figures.get("applied_twice"), 0L, details);
+        assertEquals(figures.get("second_attempts"), 0L, details);
+        assertEquals(figures.get("fallen"), 0L, details);
         Map<String, Integer> kinds = new TreeMap<>();
         int[] reachable = new int[2];
-        int[] reached = new int[2];
-        for (Done d : done) {
-            kinds.merge(d.kind(), 1, Integer::sum);
-            long late = d.key() == null ? 1_000_000 : DEADLINE;
-            assertTrue(!d.kind().equals("LOST") && !d.kind().equals("CLOSED"), d.toString());
-            assertTrue(d.answeredAt() <= d.askedAt() + late + LATE_SLACK, "late: " + d);
-            if (d.key() != null) {
-                int times = ledger.timesApplied(d.key());
+        int[] served = new int[2];
+        for (Outcome outcome : outcomes) {
+            kinds.merge(outcome.kind(), 1, Integer::sum);
+            long deadlineUs = outcome.key() == null ? 1_000_000 : DEADLINE_US;
+            assertTrue(!outcome.kind().equals("LOST") && !outcome.kind().equals("CLOSED"), outcome.toString());
+            assertTrue(outcome.answeredAt() <= outcome.sentAt() + deadlineUs + LATE_SLACK_US, "late: " + outcome);
+            if (outcome.key() != null) {
+                int timesApplied = executionLog.timesApplied(outcome.key());
                 assertTrue(
-                        d.kind().equals("SERVED") ? times == 1 : d.kind().equals("REFUSED") ? times == 0 : times <= 1,
-                        times + " times: " + d + said);
-                ExecutionLog.LeaderlessPeriod met = reachable(d, ledger.leaderlessPeriods());
-                if (met != null) {
-                    reachable[met.warmingUp() ? 1 : 0]++;
-                    reached[met.warmingUp() ? 1 : 0] += d.kind().equals("SERVED") ? 1 : 0;
+                        outcome.kind().equals("SERVED")
+                                ? timesApplied == 1
+                                : outcome.kind().equals("REFUSED") ? timesApplied == 0 : timesApplied <= 1,
+                        timesApplied + " times: " + outcome + details);
+                ExecutionLog.LeaderlessPeriod failover = reachableFailover(outcome, executionLog.leaderlessPeriods());
+                if (failover != null) {
+                    reachable[failover.warmingUp() ? 1 : 0]++;
+                    served[failover.warmingUp() ? 1 : 0] += outcome.kind().equals("SERVED") ? 1 : 0;
                 }
             }
         }
         System.out.println("handover on sockets: " + kinds + " " + figures + " reachable=" + reachable[0] + " served="
-                + reached[0] + ", of a cold primary: " + reachable[1] + " " + reached[1]);
-        // The share is measured in longer runs; this guards against holding that does not work at all.
-        assertTrue(reached[0] + reached[1] > 0 || reachable[0] + reachable[1] == 0, said);
+                + served[0] + ", with a primary warming up: reachable " + reachable[1] + " served " + served[1]);
+        // Longer runs measure the share of writes served; this guards against a buffer that releases no write at all.
+        assertTrue(served[0] + served[1] > 0 || reachable[0] + reachable[1] == 0, details);
     }
 
-    private static boolean isChanging(ExecutionLog ledger) {
-        return ledger.leaderlessPeriods().stream().anyMatch(v -> v.until() == Long.MAX_VALUE);
+    private static boolean isFailingOver(ExecutionLog executionLog) {
+        return executionLog.leaderlessPeriods().stream().anyMatch(period -> period.until() == Long.MAX_VALUE);
     }
 
-    /** The change that it met, if its deadline lies past the end and its key's window allows it; or null. */
-    private static ExecutionLog.LeaderlessPeriod reachable(Done d, List<ExecutionLog.LeaderlessPeriod> vacancies) {
-        ExecutionLog.LeaderlessPeriod met = null;
-        for (ExecutionLog.LeaderlessPeriod v : vacancies) {
-            if (v.group() == d.group() && v.from() < d.askedAt() + DEADLINE && v.until() > d.askedAt()) {
-                boolean inFlight = d.askedAt() < v.from() && d.askedAt() + KEY_TTL < v.until() + MARGIN;
-                if (met != null
+    /** The only failover that affects the write, if its deadline and key window last beyond the end; or null. */
+    private static ExecutionLog.LeaderlessPeriod reachableFailover(
+            Outcome outcome, List<ExecutionLog.LeaderlessPeriod> leaderlessPeriods) {
+        ExecutionLog.LeaderlessPeriod failover = null;
+        for (ExecutionLog.LeaderlessPeriod period : leaderlessPeriods) {
+            if (period.group() == outcome.group()
+                    && period.from() < outcome.sentAt() + DEADLINE_US
+                    && period.until() > outcome.sentAt()) {
+                boolean inFlight =
+                        outcome.sentAt() < period.from() && outcome.sentAt() + KEY_TTL_US < period.until() + MARGIN_US;
+                if (failover != null
                         || inFlight
-                        || v.until() > d.askedAt() + DEADLINE - MARGIN
-                        || d.answeredAt() < v.from()) {
+                        || period.until() > outcome.sentAt() + DEADLINE_US - MARGIN_US
+                        || outcome.answeredAt() < period.from()) {
                     return null;
                 }
-                met = v;
+                failover = period;
             }
         }
-        return met;
+        return failover;
     }
 }
--- a/src/test/java/crankwick/app/FaultSoak.java
+++ b/src/test/java/crankwick/app/FaultSoak.java
@@ -9,20 +9,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One seeded run: the program as a process, three databases and clients on loopback, and faults drawn by the seed.
- * Databases break connections, answer late, spoilt or not at all; the process is stopped for up to 0.15 s, over and
- * over, and gets SIGHUP in series; some runs have a crowd of idle connections. At the end SIGTERM, clients that go on
- * sending, and SIGKILL at the platform's earliest. The faults are the seed's; which request meets them is not.
+ * One soak run: the program as a process, three databases and clients on loopback, and faults drawn from the seed.
+ * Databases close connections, answer late, with malformed replies or not at all; the process is repeatedly stopped
+ * for up to 0.15 s and gets SIGHUP in series; some runs open many idle connections. The run ends with SIGTERM while
+ * clients continue to send, and SIGKILL at the earliest time the platform may send it. The seed determines the faults,
+ * but not which requests they affect.
  */
 final class FaultSoak {
     private static final int CLIENTS = 12;
-    private static final int CROWD = 230;
+    private static final int MAX_IDLE_CONNECTIONS = 230;
     private static final int TRAFFIC_MS = 8_000;
-    /** The longest deadline of the settings and 0.7 s. */
+    /** The longest deadline in the settings plus 0.7 s. */
     private static final int KILL_AFTER_MS = 3_700;
 
     private static final int MAX_STOP_MS = 150;
-    private static final String[] WORDS = {
+    private static final String[] REPLY_KINDS = {
         "VALUE", "VALUE", "VALUE", "DISCONNECT", "MALFORMED", "NO_REPLY", "ERROR", "OVERLOADED"
     };
 
@@ -30,20 +31,25 @@
     private final Random random;
     private final SoakRecord record = new SoakRecord();
     private final AtomicInteger ids = new AtomicInteger();
-    private final List<Socket> crowd = new ArrayList<>();
+    private final List<Socket> idleConnections = new ArrayList<>();
 
     FaultSoak(long seed) {
         this.seed = seed;
         random = new Random(seed);
     }
 
-    /** What a run came to. */
-    record Outcome(int requests, int attempts, int worstLateMs, List<SoakRecord.Break> breaks, List<String> errors) {}
+    /** The result of a run. */
+    record Outcome(
+            int requests,
+            int attempts,
+            int maxLoopDelayMs,
+            List<SoakRecord.Violation> violations,
+            List<String> errorLines) {}
 
     Outcome run() throws IOException, InterruptedException {
         TestWireClient wire = seed % 2 == 0 ? new PgTestClient() : new TdsTestClient();
         try (Deployment d = new Deployment(wire)) {
-            record.watchOwnPauses();
+            record.detectOwnPauses();
             List<SoakClient> clients = new ArrayList<>();
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
@@ -52,25 +58,29 @@
                 threads.add(new Thread(client, "client " + i));
             }
             threads.forEach(Thread::start);
-            playFaults(d);
-            clients.forEach(SoakClient::end);
+            injectFaults(d);
+            clients.forEach(SoakClient::stopConnecting);
             long killedAt = terminateThenKill(d);
-            clients.forEach(SoakClient::killed);
+            clients.forEach(SoakClient::stop);
             for (Thread thread : threads) {
                 thread.join();
             }
-            for (Socket socket : crowd) {
+            for (Socket socket : idleConnections) {
                 socket.close();
             }
-            List<SoakRecord.Break> breaks = record.judge(d.attemptLog.attempts, killedAt);
-            breaks.forEach(broken -> printTimeLine(d, broken));
+            List<SoakRecord.Violation> violations = record.findViolations(d.attemptLog.attempts, killedAt);
+            violations.forEach(violation -> printTimeline(d, violation));
             return new Outcome(
-                    record.requests.size(), d.attemptLog.attempts.size(), worstLateMs(d), breaks, d.errorLines());
+                    record.requests.size(),
+                    d.attemptLog.attempts.size(),
+                    maxLoopDelayMs(d),
+                    violations,
+                    d.errorLines());
         }
     }
 
-    /** How late the proxy's loop was at worst, by its own word. */
-    private static int worstLateMs(Deployment d) {
+    /** The longest delay of the proxy's event loop that its log reports. */
+    private static int maxLoopDelayMs(Deployment d) {
         return d.log.stream()
                 .filter(line -> line.contains("event loop up to "))
                 .mapToInt(line -> Integer.parseInt(line.replaceAll(".*event loop up to (\\d+) ms.*", "$1")))
@@ -78,27 +88,27 @@
                 .orElse(0);
     }
 
-    /** What is known of a request that broke a rule: when databases were sent it, and the proxy's own word. */
-    private void printTimeLine(Deployment d, SoakRecord.Break broken) {
-        System.out.println("seed " + seed + ": " + broken);
-        long asked = record.requests.get(broken.id()).askedAt;
-        for (ScriptedDatabase.Attempt seen : d.attemptLog.attempts) {
-            if (seen.id().equals(broken.id())) {
-                long millis = TimeUnit.NANOSECONDS.toMillis(seen.receivedAt() - asked);
-                System.out.println("    " + seen.server() + " +" + millis + " ms");
+    /** Prints a violation, when databases received the request's attempts, and the proxy's log lines on it. */
+    private void printTimeline(Deployment d, SoakRecord.Violation violation) {
+        System.out.println("seed " + seed + ": " + violation);
+        long sentAt = record.requests.get(violation.id()).sentAt;
+        for (ScriptedDatabase.Attempt attempt : d.attemptLog.attempts) {
+            if (attempt.id().equals(violation.id())) {
+                long millis = TimeUnit.NANOSECONDS.toMillis(attempt.receivedAt() - sentAt);
+                System.out.println("    " + attempt.server() + " +" + millis + " ms");
             }
         }
         d.log.stream()
-                .filter(line -> line.contains(" id=" + broken.id() + " ") || line.contains("late,"))
+                .filter(line -> line.contains(" id=" + violation.id() + " ") || line.contains("late,"))
                 .forEach(line -> System.out.println("    " + line));
     }
 
-    private void playFaults(Deployment d) throws IOException, InterruptedException {
-        boolean crowded = seed % 4 == 3;
+    private void injectFaults(Deployment d) throws IOException, InterruptedException {
+        boolean opensIdleConnections = seed % 4 == 3;
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRAFFIC_MS);
         while (System.nanoTime() < until) {
             ScriptedDatabase database = d.databases.get(random.nextInt(d.databases.size()));
-            database.replyKind = WORDS[random.nextInt(WORDS.length)];
+            database.replyKind = REPLY_KINDS[random.nextInt(REPLY_KINDS.length)];
             database.delayMs = random.nextInt(400);
             database.greetingDelayMs = random.nextInt(4) == 0 ? random.nextInt(700) : 0;
             database.resetsConnections = random.nextInt(4) == 0;
@@ -109,17 +119,17 @@
                 signal(d, "HUP");
                 Thread.sleep(random.nextInt(30));
             }
-            if (crowded) {
-                gather(d);
+            if (opensIdleConnections) {
+                openIdleConnections(d);
             }
             Thread.sleep(random.nextInt(300));
         }
     }
 
-    private void gather(Deployment d) throws IOException {
-        crowd.removeIf(Socket::isClosed);
-        for (int i = 0; i < CROWD / 10 && crowd.size() < CROWD; i++) {
-            crowd.add(d.connect());
+    private void openIdleConnections(Deployment d) throws IOException {
+        idleConnections.removeIf(Socket::isClosed);
+        for (int i = 0; i < MAX_IDLE_CONNECTIONS / 10 && idleConnections.size() < MAX_IDLE_CONNECTIONS; i++) {
+            idleConnections.add(d.connect());
         }
     }
 
@@ -128,7 +138,7 @@
         signal(d, "STOP");
         Thread.sleep(millis);
         signal(d, "CONT");
-        record.stopped(from, System.nanoTime());
+        record.recordPause(from, System.nanoTime());
     }
 
     private static void signal(Deployment d, String name) throws IOException, InterruptedException {
@@ -137,12 +147,12 @@
                 .waitFor();
     }
 
-    /** SIGTERM while databases are as they were, SIGKILL as early as it may come; when that was. */
+    /** Sends SIGTERM with the faults still in effect, then SIGKILL when allowed; returns the time of the latter. */
     private long terminateThenKill(Deployment d) throws IOException, InterruptedException {
         if (!d.process.isAlive()) {
-            throw new IOException("the program has ended by itself: " + d.log);
+            throw new IOException("the program ended before SIGTERM: " + d.log);
         }
-        record.terminated();
+        record.recordSigterm();
         signal(d, "TERM");
         d.process.waitFor(KILL_AFTER_MS, TimeUnit.MILLISECONDS);
         long killedAt = System.nanoTime();
--- a/src/test/java/crankwick/app/FaultSoakIT.java
+++ b/src/test/java/crankwick/app/FaultSoakIT.java
@@ -8,17 +8,17 @@
 import org.testng.annotations.Test;
 
 /**
- * A few seeds of {@link FaultSoak}; by hand more of them, with {@code -Dcrankwick.soak.first=1
+ * Runs {@link FaultSoak} with a few seeds; for more of them, set for instance {@code -Dcrankwick.soak.first=1
  * -Dcrankwick.soak.count=50}.
  */
 public class FaultSoakIT {
-    private static final long FIRST = Long.getLong("crankwick.soak.first", 1);
-    private static final long COUNT = Long.getLong("crankwick.soak.count", 4);
+    private static final long FIRST_SEED = Long.getLong("crankwick.soak.first", 1);
+    private static final long SEED_COUNT = Long.getLong("crankwick.soak.count", 4);
 
-    /** The seeds to be played. */
+    /** The seeds to run. */
     @DataProvider
     public Object[][] seeds() {
-        return LongStream.range(FIRST, FIRST + COUNT)
+        return LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT)
                 .mapToObj(seed -> new Object[] {seed})
                 .toArray(Object[][]::new);
     }
@@ -27,9 +27,10 @@
     public void noRuleIsBroken(long seed) throws Exception {
         FaultSoak.Outcome outcome = new FaultSoak(seed).run();
         System.out.println("soak seed " + seed + ": " + outcome.requests() + " requests, " + outcome.attempts()
-                + " attempts, loop late up to " + outcome.worstLateMs() + " ms, breaks " + outcome.breaks());
-        assertTrue(outcome.requests() > 100, "too little traffic to judge: " + outcome.requests());
-        assertEquals(outcome.errors().toString(), "[]");
-        assertEquals(outcome.breaks().toString(), "[]");
+                + " attempts, event loop delayed by up to " + outcome.maxLoopDelayMs() + " ms, violations "
+                + outcome.violations());
+        assertTrue(outcome.requests() > 100, "too few requests for a meaningful run: " + outcome.requests());
+        assertEquals(outcome.errorLines().toString(), "[]");
+        assertEquals(outcome.violations().toString(), "[]");
     }
 }
--- a/src/test/java/crankwick/app/LineProtocolCodec.java
+++ b/src/test/java/crankwick/app/LineProtocolCodec.java
@@ -10,33 +10,34 @@
 import java.util.concurrent.Semaphore;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
-/** A client's wire of one line a command, which tells a test what the thread that reads has seen by now. */
+/** A client protocol with one command per line, which counts what the selector thread has accepted and read. */
 final class LineProtocolCodec extends CodecFilter {
     static final String CANCEL = "cancel";
-    /** Holds up the thread that reads, until {@link #selectorReleased} is open. */
+    /** Blocks the selector thread until {@link #selectorReleased} opens. */
     static final String BLOCK_SELECTOR = "hold";
 
     final CountDownLatch selectorReleased = new CountDownLatch(1);
 
-    /** One permit for each connection that has been accepted, and for each command that has been read. */
+    /** One permit per accepted connection. */
     final Semaphore acceptedConnections = new Semaphore(0);
 
+    /** One permit per command read. */
     final Semaphore commandsRead = new Semaphore(0);
 
     @Override
     protected Decoder newDecoder() {
         acceptedConnections.release();
-        return new Lines();
+        return new LineDecoder();
     }
 
-    private final class Lines extends Decoder {
+    private final class LineDecoder extends Decoder {
         private boolean loggedIn;
 
         @Override
         protected boolean decode(ByteBuffer in, FilterChainContext context) {
-            byte[] all = new byte[in.remaining()];
-            in.duplicate().get(all);
-            int end = new String(all, StandardCharsets.US_ASCII).indexOf('\n');
+            byte[] bytes = new byte[in.remaining()];
+            in.duplicate().get(bytes);
+            int end = new String(bytes, StandardCharsets.US_ASCII).indexOf('\n');
             if (end < 0) {
                 return false;
             }
@@ -45,7 +46,7 @@
                 loggedIn = true;
                 emit(new ClientMessage.Login(""));
             }
-            String line = new String(all, 0, end, StandardCharsets.US_ASCII);
+            String line = new String(bytes, 0, end, StandardCharsets.US_ASCII);
             if (line.equals(BLOCK_SELECTOR)) {
                 commandsRead.release();
                 blockSelector();
@@ -81,10 +82,10 @@
 
     @Override
     public byte[] encode(Object value) {
-        return (text(value) + "\n").getBytes(StandardCharsets.US_ASCII);
+        return (describe(value) + "\n").getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static String text(Object value) {
+    private static String describe(Object value) {
         if (!(value instanceof ClientReply.RequestReply answer)) {
             return value.getClass().getSimpleName();
         }
--- a/src/test/java/crankwick/app/LoopbackServer.java
+++ b/src/test/java/crankwick/app/LoopbackServer.java
@@ -7,20 +7,20 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** A server on a loopback port of its own, with a thread for each connection. */
+/** A server on its own loopback port, with one thread per connection. */
 abstract class LoopbackServer implements AutoCloseable {
     final ServerSocket listener = new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
     LoopbackServer() throws IOException {}
 
-    /** Begins to accept; to be called once the server is whole. */
+    /** Starts to accept connections; subclasses call this once their fields are initialized. */
     final void start() {
-        daemon(() -> {
+        startDaemon(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
-                daemon(() -> {
+                startDaemon(() -> {
                     try (socket) {
                         socket.setTcpNoDelay(true);
                         serve(socket);
@@ -30,19 +30,19 @@
         });
     }
 
-    /** Serves a connection, which ends when this returns. */
+    /** Serves a connection, which is closed when this returns. */
     abstract void serve(Socket socket) throws IOException, InterruptedException;
 
     private interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void daemon(Task task) {
+    private static void startDaemon(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (IOException | InterruptedException e) {
-                // The peer has gone, or the test is over.
+                // The peer has closed the connection, or the test has ended.
                 Thread.currentThread().interrupt();
             }
         });
@@ -50,7 +50,7 @@
         thread.start();
     }
 
-    /** Connections that are open. */
+    /** Number of open connections. */
     final int connections() {
         sockets.removeIf(Socket::isClosed);
         return sockets.size();
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -38,14 +38,14 @@
     static final long MS = 1_000;
     static final long KEY_TTL = 1_000 * MS;
     private static final long CONNECT_TIMEOUT = 9_000 * MS;
-    private static final long IDLE_LIMIT = 60_000 * MS;
-    private static final int MAX_LINKS = 100;
+    private static final long IDLE_TIMEOUT = 60_000 * MS;
+    private static final int MAX_CONNECTIONS = 100;
 
     final ScriptedDatabase.AttemptLog attemptLog = new ScriptedDatabase.AttemptLog();
     final ScriptedDatabase database;
     final LineProtocolCodec wire = new LineProtocolCodec();
     final Clock clock = new Clock();
-    final EventLoop loop = new EventLoop("held");
+    final EventLoop loop = new EventLoop("pausable");
     final Broker broker;
     final ClientListener clientListener;
     private final Transport transport = new Transport();
@@ -69,42 +69,42 @@
                         clock,
                         transport,
                         new PgDatabaseCodec(),
-                        new PoolSettings(connectTimeout, IDLE_LIMIT, MAX_LINKS)));
+                        new PoolSettings(connectTimeout, IDLE_TIMEOUT, MAX_CONNECTIONS)));
         database = new ScriptedDatabase("primary", "read-write", new PgTestClient(), attemptLog);
         var address = new InetSocketAddress("127.0.0.1", database.listener.getLocalPort());
-        Endpoint member = new Endpoint("primary", 0, 0, Role.PRIMARY, EndpointStatus.LIVE, 0);
+        Endpoint endpoint = new Endpoint("primary", 0, 0, Role.PRIMARY, EndpointStatus.LIVE, 0);
         loop.execute(() -> {
             runner.updateEndpoints(new Discovery.ListUpdate(
-                    EndpointUpdateKind.FULL, List.of(new Discovery.DiscoveredEndpoint(member, address))));
+                    EndpointUpdateKind.FULL, List.of(new Discovery.DiscoveredEndpoint(endpoint, address))));
             clientListener.markReady();
         });
         clientListener.listen(transport, new InetSocketAddress("127.0.0.1", 0));
     }
 
-    /** The loop stands still from where this is in its queue; what arrives later waits its turn. */
+    /** Stops the event loop at this entry of its queue until resumed; later entries wait. */
     static final class LoopPause {
-        private final CountDownLatch holding = new CountDownLatch(1);
-        private final CountDownLatch released = new CountDownLatch(1);
+        private final CountDownLatch paused = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
 
         private void run() {
-            holding.countDown();
+            paused.countDown();
             try {
-                released.await();
+                resumed.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
 
         void await() throws InterruptedException {
-            holding.await();
+            paused.await();
         }
 
         void resume() {
-            released.countDown();
+            resumed.countDown();
         }
     }
 
-    /** Puts a hold at the end of the loop's queue. */
+    /** Puts a pause at the end of the event loop's queue. */
     LoopPause queueLoopPause() {
         LoopPause pause = new LoopPause();
         pauses.add(pause);
@@ -112,14 +112,14 @@
         return pause;
     }
 
-    /** The loop stands still when this returns. */
+    /** Pauses the event loop; it has stopped when this returns. */
     LoopPause pauseLoop() throws InterruptedException {
         LoopPause pause = queueLoopPause();
         pause.await();
         return pause;
     }
 
-    /** Runs a task on the loop and waits for it. */
+    /** Runs a task on the event loop and waits for it. */
     void onLoop(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
@@ -129,16 +129,16 @@
         done.await();
     }
 
-    /** Requests that are still owed an answer. */
+    /** Number of requests without an answer. */
     long outstandingRequests() throws InterruptedException {
-        AtomicLong owed = new AtomicLong();
-        onLoop(() -> owed.set(broker.outstandingRequests()));
-        return owed.get();
+        AtomicLong count = new AtomicLong();
+        onLoop(() -> count.set(broker.outstandingRequests()));
+        return count.get();
     }
 
     /**
-     * What had arrived before has been read when this returns. Of what arrives together any may be read
-     * first, so the second connection is the one that surely comes behind.
+     * Waits until the selector thread has read all bytes that arrived before the call. The selector may process
+     * events of one selection in any order, so only a second connection is certain to be accepted after those bytes.
      */
     void awaitSelectorThread() throws IOException, InterruptedException {
         wire.acceptedConnections.drainPermits();
@@ -150,7 +150,7 @@
         }
     }
 
-    /** A client that has asked once. */
+    /** A client whose login and first, empty query have been answered. */
     final class Client implements AutoCloseable {
         private final Socket socket = new Socket();
         private final BufferedReader in;
@@ -168,14 +168,14 @@
             onLoop(() -> {});
         }
 
-        /** Sends a command; with the loop held, the reader has it when this returns. */
+        /** Sends a command; the selector thread has read it when this returns, also while the event loop is paused. */
         void send(String line) throws IOException, InterruptedException {
             wire.commandsRead.drainPermits();
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             wire.commandsRead.acquire();
         }
 
-        /** Sends a part of a command. */
+        /** Sends part of a command. */
         void sendPart(String part) throws IOException {
             socket.getOutputStream().write(part.getBytes(StandardCharsets.US_ASCII));
         }
@@ -184,7 +184,7 @@
             send("/* id=" + id + ",c=write,d=" + deadlineMs + ",k=k" + id + ",cluster=0 */ INSERT");
         }
 
-        /** The next answer; null where the proxy has ended the connection. */
+        /** The next answer; null if the proxy has closed the connection. */
         String readAnswer() throws IOException {
             return in.readLine();
         }
--- a/src/test/java/crankwick/app/PgTestClient.java
+++ b/src/test/java/crankwick/app/PgTestClient.java
@@ -11,9 +11,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** PostgreSQL's protocol, written for the tests alone so that it does not share the program's mistakes. */
+/** The PostgreSQL protocol, implemented separately for the tests so that it does not share the program's faults. */
 final class PgTestClient implements TestWireClient {
-    private static final Map<String, String> CODES = Map.of("STALE", "72000", "OVERLOADED", "53300", "ERROR", "XX000");
+    private static final Map<String, String> SQLSTATES =
+            Map.of("STALE", "72000", "OVERLOADED", "53300", "ERROR", "XX000");
 
     private static byte[] message(char type, String text) {
         byte[] body = text.getBytes(StandardCharsets.ISO_8859_1);
@@ -75,7 +76,7 @@
                 }
             }
         } catch (EOFException e) {
-            // Behind a fatal error there is nothing more.
+            // The server closes the connection after a fatal error.
             return answer;
         }
     }
@@ -104,22 +105,22 @@
 
     @Override
     public byte[] encodeReply(DatabaseReply databaseReply, boolean probe) {
-        byte[] facts = joined(
+        byte[] status = concat(
                 message('S', "mode\0" + databaseReply.mode() + "\0"),
                 message('S', "wal_time\0" + databaseReply.position() + "\0"),
                 message('S', "stats\0" + databaseReply.report() + "\0"),
                 message('Z', "I"));
         if (probe || databaseReply.kind().equals("VALUE")) {
-            return joined(
+            return concat(
                     columns(probe ? "stats" : "val"),
                     row(probe ? databaseReply.report() : databaseReply.value(), 0),
                     message('C', "SELECT 1\0"),
-                    facts);
+                    status);
         }
-        return joined(message('E', "SERROR\0C" + CODES.get(databaseReply.kind()) + "\0Mno\0\0"), facts);
+        return concat(message('E', "SERROR\0C" + SQLSTATES.get(databaseReply.kind()) + "\0Mno\0\0"), status);
     }
 
-    private static byte[] joined(byte[]... parts) {
+    private static byte[] concat(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] part : parts) {
             out.writeBytes(part);
@@ -131,9 +132,9 @@
         return message('T', "\0\1" + name + "\0" + "\0".repeat(18));
     }
 
-    /** A row whose value is said to be longer than it is. */
-    private static byte[] row(String value, int more) {
-        int length = value.length() + more;
+    /** A row whose declared value length exceeds the actual length by {@code extraLength}, which may be negative. */
+    private static byte[] row(String value, int extraLength) {
+        int length = value.length() + extraLength;
         String bytes = "" + (char) (length >> 24 & 0xFF) + (char) (length >> 16 & 0xFF) + (char) (length >> 8 & 0xFF)
                 + (char) (length & 0xFF);
         return message('D', "\0\1" + bytes + value);
@@ -143,26 +144,26 @@
     public byte[][] malformedReplies(DatabaseReply databaseReply) {
         byte[] columns = columns("val");
         byte[] row = row(databaseReply.value(), 0);
-        byte[] done = joined(message('C', "SELECT 1\0"), message('Z', "I"));
+        byte[] done = concat(message('C', "SELECT 1\0"), message('Z', "I"));
         byte[] threeGigabytes = {'D', (byte) 0xC0, 0, 0, 0, 0, 1, (byte) 0xBF, (byte) 0xFF, (byte) 0xFF, 0};
         return new byte[][] {
             "\21\3noise \377\377\0".getBytes(StandardCharsets.ISO_8859_1),
-            joined(columns, row(databaseReply.value(), -1), done),
-            joined(columns, row(databaseReply.value(), 1), done),
-            joined(columns, row, row, done),
-            joined(columns, done),
-            joined(row, done),
-            joined(columns, row),
-            joined(columns, row, message('Z', "I")),
-            joined(columns, row, message('Z', "")),
+            concat(columns, row(databaseReply.value(), -1), done),
+            concat(columns, row(databaseReply.value(), 1), done),
+            concat(columns, row, row, done),
+            concat(columns, done),
+            concat(row, done),
+            concat(columns, row),
+            concat(columns, row, message('Z', "I")),
+            concat(columns, row, message('Z', "")),
             done,
-            joined(columns, threeGigabytes, new byte[1 << 20]),
-            joined(columns, message('D', "\0")),
-            joined(columns, row, message('E', "no end"), done),
+            concat(columns, threeGigabytes, new byte[1 << 20]),
+            concat(columns, message('D', "\0")),
+            concat(columns, row, message('E', "no end"), done),
             message('Z', "I"),
             new byte[] {'T'},
             message('E', "SERROR\0\0"),
-            joined(message('t', "x"), columns, row, done)
+            concat(message('t', "x"), columns, row, done)
         };
     }
 
--- a/src/test/java/crankwick/app/ScriptedDatabase.java
+++ b/src/test/java/crankwick/app/ScriptedDatabase.java
@@ -14,16 +14,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A small database: answers as it is told to, and notes what it was sent and when. */
+/** A loopback database that replies as its fields say and records the statements that it receives. */
 final class ScriptedDatabase extends LoopbackServer {
-    /** What a database was sent: the request's id and when its last byte had come. */
+    /** A statement that a database received, with the request's id and the time when it was complete. */
     record Attempt(String server, String id, String statement, long receivedAt) {}
 
-    /** What all the databases of a test have seen; the rules are read off it. */
+    /** The attempts that the databases of a test have received, and the violations that they found. */
     static final class AttemptLog {
         final List<Attempt> attempts = new CopyOnWriteArrayList<>();
         final List<String> violations = new CopyOnWriteArrayList<>();
-        /** Values whose copy the machine held up past the time within which a copy must come to light. */
+        /** Values with a copy that a busy machine delayed beyond the time within which the proxy must detect it. */
         final Set<String> delayedCopies = ConcurrentHashMap.newKeySet();
 
         private final Set<String> inFlight = ConcurrentHashMap.newKeySet();
@@ -37,8 +37,8 @@
         }
     }
 
-    /** A proxy rests a connection for 10 ms after an answer; a copy that left by then must not be taken. */
-    private static final long COPY_BY = TimeUnit.MILLISECONDS.toNanos(8);
+    /** The proxy reuses a connection 10 ms after an answer at the earliest, and must not serve copies sent by then. */
+    private static final long MAX_COPY_DELAY = TimeUnit.MILLISECONDS.toNanos(8);
 
     final String name;
     volatile String mode;
@@ -51,24 +51,25 @@
     volatile String replyKind = "VALUE";
 
     final Semaphore splitPermits = new Semaphore(0);
-    private int answers;
+    private int answerCount;
     volatile int delayMs;
-    /** A value has so many characters before it. */
+    /** Number of characters that precede each value. */
     volatile int paddingChars;
 
-    /** A new connection is greeted after so long. */
+    /** Delay before the login on a new connection is accepted. */
     volatile int greetingDelayMs;
-    /** A new connection is greeted once this is open; how many were. */
+    /** Logins on new connections are accepted once this opens. */
     volatile CountDownLatch greetingLatch = new CountDownLatch(0);
 
+    /** Number of connections whose login has been accepted. */
     final AtomicInteger greetedConnections = new AtomicInteger();
-    /** Every fifth new connection is reset, and what had been answered on is reset by the next statement. */
+    /** Resets every fifth new connection, and every other connection when its second statement arrives. */
     volatile boolean resetsConnections;
 
     private int accepted;
-    /** Connections that ever came up. */
+    /** Number of connections ever accepted and not reset at once. */
     final AtomicInteger openedConnections = new AtomicInteger();
-    /** Connections idle for so long are ended, as databases do. */
+    /** Connections idle for this long are closed, as databases do; 0 for no limit. */
     volatile int idleTimeoutMs;
 
     private final TestWireClient wire;
@@ -94,13 +95,13 @@
         greetingLatch.await();
         wire.acceptLogin(socket, in);
         greetedConnections.incrementAndGet();
-        for (int asked = 0; ; asked++) {
+        for (int statements = 0; ; statements++) {
             socket.setSoTimeout(idleTimeoutMs);
             String statement = wire.readStatement(in);
             if (statement == null) {
                 return;
             }
-            if (resetsConnections && asked > 0) {
+            if (resetsConnections && statements > 0) {
                 socket.setSoLinger(true, 0);
                 return;
             }
@@ -113,32 +114,32 @@
 
     private boolean answerProbe(Socket socket) throws IOException {
         if (!replyKind.equals("NO_REPLY")) {
-            socket.getOutputStream().write(wire.encodeReply(verdict("VALUE", ""), true));
+            socket.getOutputStream().write(wire.encodeReply(reply("VALUE", ""), true));
         }
         return true;
     }
 
     private boolean answer(Socket socket, DataInputStream in, String statement) throws IOException {
-        long at = System.nanoTime();
+        long receivedAt = System.nanoTime();
         String id = statement.replaceAll("(?s).*?id=([^, ]*).*", "$1");
-        attemptLog.attempts.add(new Attempt(name, id, statement, at));
+        attemptLog.attempts.add(new Attempt(name, id, statement, receivedAt));
         if (!attemptLog.inFlight.add(id)) {
             attemptLog.violations.add("two attempts of " + id + " in flight");
         }
         try {
-            String verdict = replyKind;
-            int wait = verdict.equals("NO_REPLY") ? 60_000 : delayMs;
-            if (wait > 0 && !stays(socket, in, wait) || verdict.equals("DISCONNECT")) {
+            String kind = replyKind;
+            int wait = kind.equals("NO_REPLY") ? 60_000 : delayMs;
+            if (wait > 0 && !staysOpen(socket, in, wait) || kind.equals("DISCONNECT")) {
                 return false;
             }
             attemptLog.inFlight.remove(id);
-            long from = System.nanoTime();
-            for (byte[] part : parts(verdict, verdict(verdict, "v".repeat(paddingChars) + name + ":" + id))) {
-                if (verdict.equals("SPLIT")) {
+            long replyStart = System.nanoTime();
+            for (byte[] part : replyParts(kind, reply(kind, "v".repeat(paddingChars) + name + ":" + id))) {
+                if (kind.equals("SPLIT")) {
                     splitPermits.acquire();
                 }
                 socket.getOutputStream().write(part);
-                if (System.nanoTime() - from > COPY_BY) {
+                if (System.nanoTime() - replyStart > MAX_COPY_DELAY) {
                     attemptLog.delayedCopies.add(name + ":" + id);
                 }
                 Thread.sleep(1);
@@ -151,37 +152,37 @@
         }
     }
 
-    private synchronized List<byte[]> parts(String instead, TestWireClient.DatabaseReply verdict) {
-        byte[][] spoilt = wire.malformedReplies(verdict);
-        if (instead.equals("MALFORMED") && answers++ % 3 == 2) {
-            return List.of(spoilt[answers / 3 % spoilt.length]);
+    private synchronized List<byte[]> replyParts(String kind, TestWireClient.DatabaseReply reply) {
+        byte[][] malformed = wire.malformedReplies(reply);
+        if (kind.equals("MALFORMED") && answerCount++ % 3 == 2) {
+            return List.of(malformed[answerCount / 3 % malformed.length]);
         }
-        byte[] whole = wire.encodeReply(verdict, false);
-        if (instead.equals("SPLIT")) {
+        byte[] whole = wire.encodeReply(reply, false);
+        if (kind.equals("SPLIT")) {
             int half = whole.length / 2;
             return List.of(Arrays.copyOf(whole, half), Arrays.copyOfRange(whole, half, whole.length));
         }
-        if (!instead.equals("DUPLICATE")) {
+        if (!kind.equals("DUPLICATE")) {
             return List.of(whole);
         }
         byte[] both = Arrays.copyOf(whole, 2 * whole.length);
         System.arraycopy(whole, 0, both, whole.length, whole.length);
-        return answers++ % 2 == 0 ? List.of(both) : List.of(whole, whole);
+        return answerCount++ % 2 == 0 ? List.of(both) : List.of(whole, whole);
     }
 
-    /** One that turns reads away is behind, and says so. */
-    private TestWireClient.DatabaseReply verdict(String answer, String value) {
+    /** A database that rejects reads as stale reports a position 10 s in the past. */
+    private TestWireClient.DatabaseReply reply(String kind, String value) {
         long behind = replyKind.equals("STALE") ? 10_000 : 0;
         long position = System.currentTimeMillis() - behind;
-        return switch (answer) {
+        return switch (kind) {
             case "INVALID_REPORT" -> new TestWireClient.DatabaseReply("VALUE", value, mode, position, "x0=9e99,x1=\1");
             case "DUPLICATE", "MALFORMED", "SPLIT" -> new TestWireClient.DatabaseReply("VALUE", value, mode, position);
-            default -> new TestWireClient.DatabaseReply(answer, value, mode, position);
+            default -> new TestWireClient.DatabaseReply(kind, value, mode, position);
         };
     }
 
-    /** Waits; false if the proxy ends the connection meanwhile. */
-    private static boolean stays(Socket socket, DataInputStream in, int millis) throws IOException {
+    /** Waits; returns false if the proxy closes the connection meanwhile. */
+    private static boolean staysOpen(Socket socket, DataInputStream in, int millis) throws IOException {
         socket.setSoTimeout(millis);
         try {
             return in.read() >= 0;
--- a/src/test/java/crankwick/app/ScriptedDiscovery.java
+++ b/src/test/java/crankwick/app/ScriptedDiscovery.java
@@ -8,9 +8,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Discovery on a port of its own, whose answers take the form that a test wants. */
+/** A discovery service on a loopback port, whose responses have the form that a test sets. */
 final class ScriptedDiscovery extends LoopbackServer {
-    /** How answers are written: some are whole, of the others no list can be read. */
+    /** How responses are written: up to {@link #BYTE_BY_BYTE} complete, the others without a readable list. */
     enum ResponseForm {
         CONTENT_LENGTH,
         CHUNKED,
@@ -28,7 +28,7 @@
         }
     }
 
-    /** What is answered to a call, by its query or null; returns when it is to be answered. */
+    /** Supplies the list for a call with this query, or null for none; returns when the response is to be sent. */
     interface ListSource {
         String list(String query) throws InterruptedException;
     }
@@ -36,7 +36,7 @@
     private static final int OVERSIZED_BYTES = 3 << 20;
 
     volatile ResponseForm responseForm = ResponseForm.CONTENT_LENGTH;
-    /** Halves of answers wait for so long between them. */
+    /** The pause between the two halves of a response. */
     volatile int midResponsePauseMs;
 
     private final ListSource listSource;
@@ -64,16 +64,16 @@
         write(socket.getOutputStream(), body, responseForm);
     }
 
-    private void write(OutputStream out, byte[] body, ResponseForm as) throws IOException, InterruptedException {
-        String status = "HTTP/1.1 " + (as == ResponseForm.UNAVAILABLE ? "503 Busy" : "200 OK") + "\r\n";
+    private void write(OutputStream out, byte[] body, ResponseForm form) throws IOException, InterruptedException {
+        String status = "HTTP/1.1 " + (form == ResponseForm.UNAVAILABLE ? "503 Busy" : "200 OK") + "\r\n";
         String length = "Content-Length: " + body.length + "\r\n\r\n";
-        switch (as) {
+        switch (form) {
             case CHUNKED -> {
                 out.write((status + "Transfer-Encoding: chunked\r\n\r\n").getBytes());
-                for (int at = 0; at < body.length; at += 100) {
-                    byte[] part = Arrays.copyOfRange(body, at, Math.min(body.length, at + 100));
-                    out.write((Integer.toHexString(part.length) + "\r\n").getBytes());
-                    out.write(part);
+                for (int offset = 0; offset < body.length; offset += 100) {
+                    byte[] chunk = Arrays.copyOfRange(body, offset, Math.min(body.length, offset + 100));
+                    out.write((Integer.toHexString(chunk.length) + "\r\n").getBytes());
+                    out.write(chunk);
                     out.write("\r\n".getBytes());
                 }
                 out.write("0\r\n\r\n".getBytes());
@@ -89,7 +89,7 @@
                 }
             }
             case TRUNCATED, TRUNCATED_WITHOUT_LENGTH -> {
-                out.write((status + (as == ResponseForm.TRUNCATED ? length : "\r\n")).getBytes());
+                out.write((status + (form == ResponseForm.TRUNCATED ? length : "\r\n")).getBytes());
                 out.write(body, 0, body.length / 2);
             }
             case OVERSIZED -> {
--- a/src/test/java/crankwick/app/SoakClient.java
+++ b/src/test/java/crankwick/app/SoakClient.java
@@ -7,25 +7,25 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A client of the soak: asks small and large requests, alone and several at once, and waits for the answers,
- * closes, resets, cancels or half-closes. Goes on with open connections until the proxy is killed.
+ * A client of the soak test. Sends small and large requests, singly and pipelined, and either awaits the answers or
+ * closes, resets or half-closes the connection or cancels. Uses open connections until the proxy is killed.
  */
 final class SoakClient implements Runnable {
-    private static final int[] SIZES = {0, 0, 0, 2_000, 40_000, 80_000};
-    private static final int MAX_WAIT_MS = 2_500;
-    private static final double LEAVES = 0.3;
-    private static final double SENDS_MANY = 0.05;
-    private static final int MANY = 1_100;
+    private static final int[] PADDING_CHARS = {0, 0, 0, 2_000, 40_000, 80_000};
+    private static final int DEADLINE_RANGE_MS = 2_500;
+    private static final double ABANDON_PROBABILITY = 0.3;
+    private static final double BURST_PROBABILITY = 0.05;
+    private static final int BURST_SIZE = 1_100;
     private static final int MAX_PAUSE_MS = 60;
 
     private final Deployment deployment;
     private final SoakRecord record;
     private final AtomicInteger ids;
     private final Random random;
-    /** No new connection is made any more, open ones are used on. */
-    private volatile boolean ending;
+    /** Set once no new connections are to be opened; open ones stay in use. */
+    private volatile boolean stopsConnecting;
 
-    private volatile boolean killed;
+    private volatile boolean stopped;
 
     SoakClient(Deployment deployment, SoakRecord record, AtomicInteger ids, long seed) {
         this.deployment = deployment;
@@ -34,102 +34,103 @@
         random = new Random(seed);
     }
 
-    void end() {
-        ending = true;
+    void stopConnecting() {
+        stopsConnecting = true;
     }
 
-    void killed() {
-        killed = true;
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void run() {
-        while (!ending && !killed) {
+        while (!stopsConnecting && !stopped) {
             try (Deployment.Client client = deployment.client()) {
-                useWhileOpen(client);
+                sendUntilClosed(client);
             } catch (IOException e) {
-                // Turned away, or the connection has ended: what was open then is in the record.
+                // Rejected, or the connection has ended: its outstanding requests are in the record.
                 pause();
             }
         }
     }
 
-    private void useWhileOpen(Deployment.Client client) throws IOException {
+    private void sendUntilClosed(Deployment.Client client) throws IOException {
         boolean open = true;
-        while (open && !killed) {
-            List<SoakRecord.Request> asked = new ArrayList<>();
+        while (open && !stopped) {
+            List<SoakRecord.Request> requests = new ArrayList<>();
             try {
-                open = askAndWait(client, asked);
+                open = sendAndAwaitAnswers(client, requests);
             } finally {
                 long now = System.nanoTime();
-                asked.stream().filter(r -> r.answeredAt == 0).forEach(r -> r.closedAt = now);
+                requests.stream().filter(r -> r.answeredAt == 0).forEach(r -> r.closedAt = now);
             }
             pause();
         }
     }
 
-    /** False once the connection is over. */
-    private boolean askAndWait(Deployment.Client client, List<SoakRecord.Request> asked) throws IOException {
+    /** Returns false once the connection has ended. */
+    private boolean sendAndAwaitAnswers(Deployment.Client client, List<SoakRecord.Request> requests)
+            throws IOException {
         int count = 1 + random.nextInt(3);
         for (int i = 0; i < count; i++) {
-            asked.add(ask(client, asked.isEmpty() ? null : asked.get(asked.size() - 1)));
+            requests.add(sendRequest(client, requests.isEmpty() ? null : requests.get(requests.size() - 1)));
         }
-        boolean many = random.nextDouble() < SENDS_MANY;
-        for (int i = 0; many && i < MANY; i++) {
+        boolean burst = random.nextDouble() < BURST_PROBABILITY;
+        for (int i = 0; burst && i < BURST_SIZE; i++) {
             client.send("SELECT 1");
         }
-        if (random.nextDouble() < LEAVES) {
+        if (random.nextDouble() < ABANDON_PROBABILITY) {
             sleep(random.nextInt(400));
             try {
-                leave(client);
+                abandon(client);
             } finally {
-                // Also where the proxy has closed before: who does not read can't tell what it was answered.
+                // Also if the proxy has closed already: a client that does not read can't know its answers.
                 long now = System.nanoTime();
-                asked.forEach(request -> request.goneAt = now);
+                requests.forEach(request -> request.abandonedAt = now);
             }
-            stay(client);
+            closeLater(client);
             return false;
         }
-        for (SoakRecord.Request request : asked) {
+        for (SoakRecord.Request request : requests) {
             TestWireClient.Answer answer = client.readAnswer();
             if (answer.kind().equals("CLOSED")) {
                 return false;
             }
-            record.answered(request, answer);
+            record.recordAnswer(request, answer);
         }
-        for (int i = 0; many && i < MANY; i++) {
+        for (int i = 0; burst && i < BURST_SIZE; i++) {
             client.readAnswer();
         }
         return true;
     }
 
-    private SoakRecord.Request ask(Deployment.Client client, SoakRecord.Request before) throws IOException {
+    private SoakRecord.Request sendRequest(Deployment.Client client, SoakRecord.Request previous) throws IOException {
         String id = Integer.toString(ids.incrementAndGet());
         boolean write = random.nextBoolean();
-        int wait = 200 + random.nextInt(MAX_WAIT_MS);
-        String statement = "/* id=" + id + ",c=" + (write ? "reserve" : "map-view") + ",d=" + wait
+        int deadlineMs = 200 + random.nextInt(DEADLINE_RANGE_MS);
+        String statement = "/* id=" + id + ",c=" + (write ? "reserve" : "map-view") + ",d=" + deadlineMs
                 + (write ? ",k=soak" + id : "") + ",cluster=0 */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'"
-                + "x".repeat(SIZES[random.nextInt(SIZES.length)]);
+                + "x".repeat(PADDING_CHARS[random.nextInt(PADDING_CHARS.length)]);
         client.send(statement);
-        SoakRecord.Request request = new SoakRecord.Request(id, System.nanoTime(), wait, before);
+        SoakRecord.Request request = new SoakRecord.Request(id, System.nanoTime(), deadlineMs, previous);
         record.requests.put(id, request);
         return request;
     }
 
-    private void leave(Deployment.Client client) throws IOException {
-        int way = random.nextInt(4);
-        if (way == 0 && deployment.wire instanceof TdsTestClient tds) {
+    private void abandon(Deployment.Client client) throws IOException {
+        int method = random.nextInt(4);
+        if (method == 0 && deployment.wire instanceof TdsTestClient tds) {
             tds.sendAttention(client.socket);
-        } else if (way == 1) {
+        } else if (method == 1) {
             client.socket.shutdownOutput();
         } else {
-            client.socket.setSoLinger(way == 2, 0);
+            client.socket.setSoLinger(method == 2, 0);
             client.close();
         }
     }
 
-    /** Who has cancelled, or only ended its sending, keeps its connection for a while. */
-    private void stay(Deployment.Client client) throws IOException {
+    /** Keeps the connection open for up to 1 s after a cancellation or half-close. */
+    private void closeLater(Deployment.Client client) throws IOException {
         if (!client.socket.isClosed()) {
             sleep(random.nextInt(1_000));
         }
--- a/src/test/java/crankwick/app/SoakRecord.java
+++ b/src/test/java/crankwick/app/SoakRecord.java
@@ -9,164 +9,169 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * What the peers of a proxy saw in one run of the soak, and the rules judged from it. Instants are nanoseconds of
- * {@link System#nanoTime}. The tolerances are wider than the operators, as a busy machine wakes test threads late.
+ * What the clients and databases observed in one soak run, and the checks of the rules on it. Times are nanoseconds of
+ * {@link System#nanoTime}. The tolerances are wider than the operators', as a busy machine schedules test threads late.
  */
 final class SoakRecord {
-    /** An attempt may reach a database so long after its client has gone. */
-    private static final long LEAVE_TOLERANCE = TimeUnit.MILLISECONDS.toNanos(400);
-    /** An answer may come so long after its request's time. */
+    /** An attempt may reach a database up to this long after its client has abandoned the request. */
+    private static final long ABANDON_TOLERANCE = TimeUnit.MILLISECONDS.toNanos(400);
+    /** An answer may arrive up to this long after it is due. */
     private static final long ANSWER_TOLERANCE = TimeUnit.MILLISECONDS.toNanos(1_000);
-    /** The time told to a database may exceed what is left by so much. */
+    /** The deadline sent to a database may exceed the request's remaining time by up to this much. */
     private static final long DEADLINE_TOLERANCE = TimeUnit.MILLISECONDS.toNanos(400);
-    /** A connection that ends so soon after a request may have ended before the request was read. */
-    private static final long CROSSING = TimeUnit.MILLISECONDS.toNanos(250);
+    /** A connection closed within this time after a request may have been closed before the request was read. */
+    private static final long CLOSE_RACE_WINDOW = TimeUnit.MILLISECONDS.toNanos(250);
 
-    /** How often the test's own process is looked at, and from when on it was held up itself. */
-    private static final long WATCH_EVERY = TimeUnit.MILLISECONDS.toNanos(5);
+    /** How often the test checks its own process for pauses, and how long a pause must be to be recorded. */
+    private static final long PAUSE_POLL_INTERVAL = TimeUnit.MILLISECONDS.toNanos(5);
 
-    private static final long HELD_UP = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long PAUSE_THRESHOLD = TimeUnit.MILLISECONDS.toNanos(20);
 
-    /** One request as its client saw it; 0 for an instant that has not come. */
+    /** One request as its client saw it; a time is 0 until its event has occurred. */
     static final class Request {
         final String id;
-        final long askedAt;
-        final long waitMs;
-        /** The one before it on its connection, behind whose answer its own comes; null for none. */
-        private final Request before;
+        final long sentAt;
+        final long deadlineMs;
+        /** The preceding request of the same batch, which is answered first; null if there is none. */
+        private final Request previous;
 
-        volatile long goneAt;
+        volatile long abandonedAt;
         volatile long answeredAt;
         volatile long closedAt;
 
-        Request(String id, long askedAt, long waitMs, Request before) {
+        Request(String id, long sentAt, long deadlineMs, Request previous) {
             this.id = id;
-            this.askedAt = askedAt;
-            this.waitMs = waitMs;
-            this.before = before;
+            this.sentAt = sentAt;
+            this.deadlineMs = deadlineMs;
+            this.previous = previous;
         }
 
-        /** When its time is over; waiting for the answers before its own does not count. */
-        private long dueAt() {
-            long due = askedAt + TimeUnit.MILLISECONDS.toNanos(waitMs);
-            return before == null ? due : Math.max(due, before.answeredAt);
+        /** When the answer is due: at the deadline, or when the preceding request's answer arrived if that is later. */
+        private long answerDueAt() {
+            long due = sentAt + TimeUnit.MILLISECONDS.toNanos(deadlineMs);
+            return previous == null ? due : Math.max(due, previous.answeredAt);
         }
 
         @Override
         public String toString() {
-            return "request " + id + " waits " + waitMs + " ms: gone " + since(goneAt) + ", answered "
-                    + since(answeredAt) + ", closed " + since(closedAt);
+            return "request " + id + " with deadline " + deadlineMs + " ms: abandoned " + since(abandonedAt)
+                    + ", answered " + since(answeredAt) + ", closed " + since(closedAt);
         }
 
         private String since(long instant) {
-            return instant == 0 ? "-" : "+" + TimeUnit.NANOSECONDS.toMillis(instant - askedAt) + " ms";
+            return instant == 0 ? "-" : "+" + TimeUnit.NANOSECONDS.toMillis(instant - sentAt) + " ms";
         }
     }
 
-    /** A time in which the proxy was stopped, or this process, whose peers then note all that they see too late. */
-    private record Stop(long from, long to) {}
+    /** A period in which the proxy was stopped, or the test's own process was paused and recorded events late. */
+    private record Pause(long from, long to) {}
 
-    /** A rule that a request broke. */
-    record Break(String rule, String id, String what) {}
+    /** A rule that does not hold for a request. */
+    record Violation(String rule, String id, String detail) {}
 
-    /** When the proxy was told to end; 0 before. */
-    private volatile long terminatedAt;
+    /** When the proxy was sent SIGTERM; 0 until then. */
+    private volatile long sigtermAt;
 
     final Map<String, Request> requests = new ConcurrentHashMap<>();
-    final List<Break> breaks = new CopyOnWriteArrayList<>();
-    private volatile boolean over;
-    private final List<Stop> stops = new CopyOnWriteArrayList<>();
+    final List<Violation> violations = new CopyOnWriteArrayList<>();
+    private volatile boolean finished;
+    private final List<Pause> pauses = new CopyOnWriteArrayList<>();
 
-    void terminated() {
-        terminatedAt = System.nanoTime();
+    void recordSigterm() {
+        sigtermAt = System.nanoTime();
     }
 
     private String sinceSigterm(Request request) {
-        long millis = TimeUnit.NANOSECONDS.toMillis(request.askedAt - terminatedAt);
-        return ", asked " + millis + " ms after SIGTERM";
+        long millis = TimeUnit.NANOSECONDS.toMillis(request.sentAt - sigtermAt);
+        return ", sent " + millis + " ms after SIGTERM";
     }
 
-    /** Notes from now on when this process is held up, by its collector or a full machine. */
-    void watchOwnPauses() {
-        Thread watch = new Thread(
+    /** Starts to record the pauses of this process, caused by garbage collection or a busy machine. */
+    void detectOwnPauses() {
+        Thread detector = new Thread(
                 () -> {
-                    for (long from = System.nanoTime(); !over; from = System.nanoTime()) {
-                        LockSupport.parkNanos(WATCH_EVERY);
+                    for (long from = System.nanoTime(); !finished; from = System.nanoTime()) {
+                        LockSupport.parkNanos(PAUSE_POLL_INTERVAL);
                         long now = System.nanoTime();
-                        if (now - from > WATCH_EVERY + HELD_UP) {
-                            stopped(from, now);
+                        if (now - from > PAUSE_POLL_INTERVAL + PAUSE_THRESHOLD) {
+                            recordPause(from, now);
                         }
                     }
                 },
-                "watch");
-        watch.setDaemon(true);
-        watch.start();
+                "pause detector");
+        detector.setDaemon(true);
+        detector.start();
     }
 
-    void stopped(long from, long to) {
-        stops.add(new Stop(from, to));
+    void recordPause(long from, long to) {
+        pauses.add(new Pause(from, to));
     }
 
-    void answered(Request request, TestWireClient.Answer answer) {
+    void recordAnswer(Request request, TestWireClient.Answer answer) {
         request.answeredAt = System.nanoTime();
         boolean served = answer.kind().equals("SERVED");
         if (served && !answer.value().endsWith(":" + request.id)) {
-            breaks.add(new Break("wrong", request.id, request + ", value " + answer.value()));
+            violations.add(new Violation("wrong answer", request.id, request + ", value " + answer.value()));
         }
     }
 
-    /** The time in which the process was stopped within a span. */
-    private long stoppedIn(long from, long to) {
-        return stops.stream()
-                .mapToLong(stop -> Math.max(0, Math.min(to, stop.to) - Math.max(from, stop.from)))
+    /** How long the proxy or the test was paused between two times. */
+    private long pausedWithin(long from, long to) {
+        return pauses.stream()
+                .mapToLong(pause -> Math.max(0, Math.min(to, pause.to) - Math.max(from, pause.from)))
                 .sum();
     }
 
-    /** Judges all requests, the proxy having been killed at that instant. */
-    List<Break> judge(List<ScriptedDatabase.Attempt> attempts, long killedAt) {
-        over = true;
-        List<Break> all = new ArrayList<>(breaks);
+    /** Checks all requests once the proxy has been killed. */
+    List<Violation> findViolations(List<ScriptedDatabase.Attempt> attempts, long killedAt) {
+        finished = true;
+        List<Violation> all = new ArrayList<>(violations);
         for (Request request : requests.values()) {
-            judgeAnswer(request, killedAt, all);
+            checkAnswer(request, killedAt, all);
         }
         for (ScriptedDatabase.Attempt attempt : attempts) {
             Request request = requests.get(attempt.id());
             if (request != null) {
-                judgeAttempt(request, attempt, all);
+                checkAttempt(request, attempt, all);
             }
         }
         return all;
     }
 
-    private void judgeAnswer(Request request, long killedAt, List<Break> all) {
-        if (request.goneAt != 0) {
+    private void checkAnswer(Request request, long killedAt, List<Violation> all) {
+        if (request.abandonedAt != 0) {
             return;
         }
-        long due = request.dueAt();
-        long end = request.answeredAt != 0 ? request.answeredAt : request.closedAt;
-        boolean crossed = request.closedAt != 0
-                && request.closedAt - request.askedAt < CROSSING + stoppedIn(request.askedAt, request.closedAt);
-        if (request.answeredAt == 0 && !crossed) {
-            String found = end >= killedAt ? ", found by the kill" : "";
-            all.add(new Break("lost", request.id, request + sinceSigterm(request) + found));
-        } else if (request.answeredAt > due + ANSWER_TOLERANCE + stoppedIn(due, request.answeredAt)) {
-            all.add(new Break("late answer", request.id, request.toString()));
+        long due = request.answerDueAt();
+        long endedAt = request.answeredAt != 0 ? request.answeredAt : request.closedAt;
+        boolean closedBeforeRead = request.closedAt != 0
+                && request.closedAt - request.sentAt
+                        < CLOSE_RACE_WINDOW + pausedWithin(request.sentAt, request.closedAt);
+        if (request.answeredAt == 0 && !closedBeforeRead) {
+            String cause = endedAt >= killedAt ? ", connection ended by SIGKILL" : "";
+            all.add(new Violation("lost answer", request.id, request + sinceSigterm(request) + cause));
+        } else if (request.answeredAt > due + ANSWER_TOLERANCE + pausedWithin(due, request.answeredAt)) {
+            all.add(new Violation("late answer", request.id, request.toString()));
         }
     }
 
-    private void judgeAttempt(Request request, ScriptedDatabase.Attempt attempt, List<Break> all) {
-        long after = attempt.receivedAt() - request.goneAt;
-        if (request.goneAt != 0 && after > LEAVE_TOLERANCE + stoppedIn(request.goneAt, attempt.receivedAt())) {
-            all.add(new Break(
-                    "sent after its client had gone",
+    private void checkAttempt(Request request, ScriptedDatabase.Attempt attempt, List<Violation> all) {
+        long delay = attempt.receivedAt() - request.abandonedAt;
+        if (request.abandonedAt != 0
+                && delay > ABANDON_TOLERANCE + pausedWithin(request.abandonedAt, attempt.receivedAt())) {
+            all.add(new Violation(
+                    "sent after the client had abandoned the request",
                     request.id,
-                    request + ", " + attempt.server() + " +" + TimeUnit.NANOSECONDS.toMillis(after) + " ms after"));
+                    request + ", " + attempt.server() + " +" + TimeUnit.NANOSECONDS.toMillis(delay) + " ms after"));
         }
-        long told = Long.parseLong(attempt.statement().replaceAll("(?s).*?,d=(\\d+),.*", "$1"));
-        long left = request.askedAt + TimeUnit.MILLISECONDS.toNanos(request.waitMs) - attempt.receivedAt();
-        if (TimeUnit.MILLISECONDS.toNanos(told)
-                > left + DEADLINE_TOLERANCE + stoppedIn(request.askedAt, attempt.receivedAt())) {
-            all.add(new Break("deadline", request.id, request + ", told " + told + " ms"));
+        long sentDeadlineMs = Long.parseLong(attempt.statement().replaceAll("(?s).*?,d=(\\d+),.*", "$1"));
+        long remaining = request.sentAt + TimeUnit.MILLISECONDS.toNanos(request.deadlineMs) - attempt.receivedAt();
+        if (TimeUnit.MILLISECONDS.toNanos(sentDeadlineMs)
+                > remaining + DEADLINE_TOLERANCE + pausedWithin(request.sentAt, attempt.receivedAt())) {
+            all.add(new Violation(
+                    "deadline exceeds the remaining time",
+                    request.id,
+                    request + ", deadline sent " + sentDeadlineMs + " ms"));
         }
     }
 }
--- a/src/test/java/crankwick/app/TdsTestClient.java
+++ b/src/test/java/crankwick/app/TdsTestClient.java
@@ -11,9 +11,10 @@
 import java.util.Arrays;
 import java.util.Map;
 
-/** TDS, written for the tests alone so that it does not share the program's mistakes. */
+/** The TDS protocol, implemented separately for the tests so that it does not share the program's faults. */
 final class TdsTestClient implements TestWireClient {
-    private static final Map<String, Integer> NUMBERS = Map.of("STALE", 50072, "OVERLOADED", 10928, "ERROR", 8650);
+    private static final Map<String, Integer> ERROR_NUMBERS =
+            Map.of("STALE", 50072, "OVERLOADED", 10928, "ERROR", 8650);
     private static final byte[] PRELOGIN = {1, 0, 6, 0, 1, (byte) 0xFF, 2};
 
     private static ByteBuffer buffer() {
@@ -24,7 +25,7 @@
         return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    /** Small packets, so that each message takes several. */
+    /** Splits a message into packets of at most 100 bytes of payload, so that typical messages take several. */
     private static byte[] packets(int type, byte[] body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int from = 0; from == 0 || from < body.length; from += 100) {
@@ -45,7 +46,7 @@
         return packets(type, bytes);
     }
 
-    private static byte[] message(DataInputStream in, int[] type) throws IOException {
+    private static byte[] readMessage(DataInputStream in, int[] type) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         for (int status = 0; (status & 1) == 0; ) {
             type[0] = in.readUnsignedByte();
@@ -79,7 +80,7 @@
                         .put(utf16(statement)));
     }
 
-    private static void word(ByteBuffer out, int token, int number, String text) {
+    private static void putMessage(ByteBuffer out, int token, int number, String text) {
         out.put((byte) token)
                 .putShort((short) (12 + 2 * text.length()))
                 .putInt(number)
@@ -96,7 +97,7 @@
     public void login(Socket socket, String team) throws IOException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         socket.getOutputStream().write(packets(0x12, PRELOGIN));
-        message(in, new int[1]);
+        readMessage(in, new int[1]);
         ByteBuffer login = buffer().put(new byte[40]).putShort((short) 94).putShort((short) team.length());
         socket.getOutputStream()
                 .write(packets(0x10, login.put(new byte[94 - 44]).put(utf16(team))));
@@ -124,7 +125,7 @@
     public Answer readAnswer(DataInputStream in) throws IOException {
         ByteBuffer body;
         try {
-            body = ByteBuffer.wrap(message(in, new int[1])).order(ByteOrder.LITTLE_ENDIAN);
+            body = ByteBuffer.wrap(readMessage(in, new int[1])).order(ByteOrder.LITTLE_ENDIAN);
         } catch (EOFException e) {
             return Answer.CLOSED;
         }
@@ -166,9 +167,9 @@
 
     @Override
     public void acceptLogin(Socket socket, DataInputStream in) throws IOException {
-        message(in, new int[1]);
+        readMessage(in, new int[1]);
         socket.getOutputStream().write(packets(4, PRELOGIN));
-        message(in, new int[1]);
+        readMessage(in, new int[1]);
         ByteBuffer ack = buffer().put((byte) 0xAD)
                 .putShort((short) 10)
                 .put((byte) 1)
@@ -184,7 +185,7 @@
     public String readStatement(DataInputStream in) throws IOException {
         int[] type = new int[1];
         try {
-            ByteBuffer body = ByteBuffer.wrap(message(in, type)).order(ByteOrder.LITTLE_ENDIAN);
+            ByteBuffer body = ByteBuffer.wrap(readMessage(in, type)).order(ByteOrder.LITTLE_ENDIAN);
             return type[0] != 1 ? null : utf16(body.position(body.getInt()), body.remaining() / 2);
         } catch (EOFException e) {
             return null;
@@ -199,13 +200,13 @@
     @Override
     public byte[] encodeReply(DatabaseReply databaseReply, boolean probe) {
         ByteBuffer out = buffer();
-        word(out, 0xAB, 50010, "mode=" + databaseReply.mode());
-        word(out, 0xAB, 50010, "wal_time=" + databaseReply.position());
-        word(out, 0xAB, 50010, "stats=" + databaseReply.report());
+        putMessage(out, 0xAB, 50010, "mode=" + databaseReply.mode());
+        putMessage(out, 0xAB, 50010, "wal_time=" + databaseReply.position());
+        putMessage(out, 0xAB, 50010, "stats=" + databaseReply.report());
         if (!probe && databaseReply.kind().equals("VALUE")) {
             row(columns(out), databaseReply.value(), 0);
         } else if (!probe) {
-            word(out, 0xAA, NUMBERS.get(databaseReply.kind()), "no");
+            putMessage(out, 0xAA, ERROR_NUMBERS.get(databaseReply.kind()), "no");
         }
         return packets(4, done(out));
     }
@@ -221,10 +222,12 @@
                 .put(utf16("val"));
     }
 
-    /** A row whose value is said to be longer than it is. */
-    private static ByteBuffer row(ByteBuffer out, String value, int more) {
+    /** A row whose declared value length exceeds the actual length by {@code extraLength}, which may be negative. */
+    private static ByteBuffer row(ByteBuffer out, String value, int extraLength) {
         byte[] bytes = value.getBytes(StandardCharsets.ISO_8859_1);
-        return out.put((byte) 0xD1).putShort((short) (bytes.length + more)).put(bytes);
+        return out.put((byte) 0xD1)
+                .putShort((short) (bytes.length + extraLength))
+                .put(bytes);
     }
 
     private static ByteBuffer done(ByteBuffer out) {
@@ -234,13 +237,13 @@
     @Override
     public byte[][] malformedReplies(DatabaseReply databaseReply) {
         String value = databaseReply.value();
-        ByteBuffer endless = columns(buffer());
-        endless.put((byte) 0xD1).putShort((short) 0xFFFE).put(new byte[10_000]);
+        ByteBuffer oversizedRow = columns(buffer());
+        oversizedRow.put((byte) 0xD1).putShort((short) 0xFFFE).put(new byte[10_000]);
         return new byte[][] {
             "\21\3noise \377\377\0".getBytes(StandardCharsets.ISO_8859_1),
             packets(4, done(row(columns(buffer()), value, -1))),
             packets(4, done(row(columns(buffer()), value, 1))),
-            packets(4, endless),
+            packets(4, oversizedRow),
             packets(4, done(row(row(columns(buffer()), value, 0), value, 0))),
             packets(4, done(columns(buffer()))),
             packets(4, done(row(buffer(), value, 0))),
--- a/src/test/java/crankwick/app/TestWireClient.java
+++ b/src/test/java/crankwick/app/TestWireClient.java
@@ -4,44 +4,44 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** A protocol as the tests speak it: as a client, and as a database. */
+/** A wire protocol as the tests implement it, on the client's and on the database's side. */
 interface TestWireClient {
-    /** How a request was answered: SERVED, REFUSED, FAILED, CLOSED; the number or code, if there is one. */
+    /** The answer to a request: SERVED, REFUSED, FAILED, EMPTY, CLOSED, or ATTENTION on TDS; its error code, if any. */
     record Answer(String kind, String code, String value, long retryAfter) {
         static final Answer CLOSED = new Answer("CLOSED", "", null, 0);
     }
 
-    /** What a database answers: a value, or one of the words MISS, FULL, ERROR; its position as Unix time. */
+    /** A reply of a database: VALUE, STALE, OVERLOADED or ERROR; its replication position as Unix time in ms. */
     record DatabaseReply(String kind, String value, String mode, long position, String report) {
         DatabaseReply(String kind, String value, String mode, long position) {
             this(kind, value, mode, position, "x0=" + position / 1e3 + ",x1=" + (mode.equals("read-write") ? 1 : 0));
         }
     }
 
-    /** Logs in as a client; null if the login is turned away. */
+    /** Logs in as a client; throws EOFException if the login is refused. */
     void login(Socket socket, String team) throws IOException;
 
     void send(Socket socket, String statement) throws IOException;
 
-    /** The bytes of a command, less so many at the end. */
+    /** The bytes of a command without the last {@code omittedBytes}. */
     byte[] encodeCommand(String statement, int omittedBytes);
 
     Answer readAnswer(DataInputStream in) throws IOException;
 
-    /** Takes a proxy's login as a database. */
+    /** Accepts a proxy's login as a database. */
     void acceptLogin(Socket socket, DataInputStream in) throws IOException;
 
-    /** The next statement that a proxy sends; null at the end. */
+    /** The next statement that a proxy sends; null once the proxy sends no more. */
     String readStatement(DataInputStream in) throws IOException;
 
-    /** True if the statement is a probe. */
+    /** True if the statement is a health check. */
     boolean isProbe(String statement);
 
     byte[] encodeReply(DatabaseReply databaseReply, boolean probe);
 
-    /** What a database may send instead of the answer that serves a value: none of it serves anything. */
+    /** Malformed variants of a reply with a value; the proxy must not serve a value from any of them. */
     byte[][] malformedReplies(DatabaseReply databaseReply);
 
-    /** Bytes that no peer should send. */
+    /** Inputs that violate the protocol. */
     byte[][] invalidInputs();
 }
