--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -75,14 +75,14 @@
     /** Calls to discovery with a lower number are never answered. */
     private int firstAnsweredCall;
 
-    private int watchCalls;
+    private int discoveryCalls;
     /** Receive buffer of a client's socket in bytes; the system's default if 0. */
     volatile int receiveBufferBytes;
     /** Number of databases of other groups in the list. */
     volatile int otherGroupEndpoints;
     /** Adds malformed entries to the list, and omits the ports of draining databases. */
     volatile boolean hasMalformedEntries;
-    /** Delay before discovery handles a call. */
+    /** Delay in ms before discovery handles a call. */
     private int callDelayMs;
 
     /** When the hold of the last call ends, by {@link System#nanoTime}. */
@@ -103,7 +103,7 @@
                     new ScriptedDatabase(name, name.equals("s-a") ? "read-write" : "read-only", wire, attemptLog));
             states.put(name, "up");
         }
-        discovery = new ScriptedDiscovery(this::answerWatch);
+        discovery = new ScriptedDiscovery(this::answerCall);
         writeZone();
         boolean pg = wire instanceof PgTestClient;
         Files.writeString(config, pg ? platformConfig() : operatorFile());
@@ -121,7 +121,7 @@
 
     /** Moves discovery to another address, reloads the configuration with it and returns the old discovery. */
     ScriptedDiscovery moveDiscovery() throws IOException, InterruptedException {
-        return moveDiscovery(this::answerWatch);
+        return moveDiscovery(this::answerCall);
     }
 
     ScriptedDiscovery moveDiscovery(ScriptedDiscovery.ListSource listSource) throws IOException, InterruptedException {
@@ -196,11 +196,11 @@
                 .replace(originalText, replacementText);
     }
 
-    private String answerWatch(String query) throws InterruptedException {
+    private String answerCall(String query) throws InterruptedException {
         int from = query == null ? 0 : Integer.parseInt(query.replaceAll("from=(\\d+).*", "$1"));
         int hold = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
         synchronized (states) {
-            int call = watchCalls++;
+            int call = discoveryCalls++;
             long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMs + hold);
             watchHoldEndsAt = until;
             pause(callDelayMs);
@@ -227,7 +227,7 @@
             while (watchHoldEndsAt < System.nanoTime()) {
                 pause(50);
             }
-            firstAnsweredCall = watchCalls;
+            firstAnsweredCall = discoveryCalls;
             callDelayMs = nextCallDelayMs;
             return Math.max(
                     System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchHoldEndsAt + TimeUnit.SECONDS.toNanos(2));
--- a/src/test/java/crankwick/app/PgTestClient.java
+++ b/src/test/java/crankwick/app/PgTestClient.java
@@ -44,8 +44,8 @@
 
     @Override
     public byte[] encodeCommand(String statement, int omittedBytes) {
-        byte[] whole = message('Q', statement + "\0");
-        return Arrays.copyOf(whole, whole.length - omittedBytes);
+        byte[] command = message('Q', statement + "\0");
+        return Arrays.copyOf(command, command.length - omittedBytes);
     }
 
     @Override
--- a/src/test/java/crankwick/app/ScriptedDatabase.java
+++ b/src/test/java/crankwick/app/ScriptedDatabase.java
@@ -157,17 +157,17 @@
         if (kind.equals("MALFORMED") && answerCount++ % 3 == 2) {
             return List.of(malformed[answerCount / 3 % malformed.length]);
         }
-        byte[] whole = wire.encodeReply(reply, false);
+        byte[] encoded = wire.encodeReply(reply, false);
         if (kind.equals("SPLIT")) {
-            int half = whole.length / 2;
-            return List.of(Arrays.copyOf(whole, half), Arrays.copyOfRange(whole, half, whole.length));
+            int half = encoded.length / 2;
+            return List.of(Arrays.copyOf(encoded, half), Arrays.copyOfRange(encoded, half, encoded.length));
         }
         if (!kind.equals("DUPLICATE")) {
-            return List.of(whole);
+            return List.of(encoded);
         }
-        byte[] both = Arrays.copyOf(whole, 2 * whole.length);
-        System.arraycopy(whole, 0, both, whole.length, whole.length);
-        return answerCount++ % 2 == 0 ? List.of(both) : List.of(whole, whole);
+        byte[] both = Arrays.copyOf(encoded, 2 * encoded.length);
+        System.arraycopy(encoded, 0, both, encoded.length, encoded.length);
+        return answerCount++ % 2 == 0 ? List.of(both) : List.of(encoded, encoded);
     }
 
     /** A database that rejects reads as stale reports a position 10 s in the past. */
--- a/src/test/java/crankwick/app/TdsTestClient.java
+++ b/src/test/java/crankwick/app/TdsTestClient.java
@@ -113,8 +113,8 @@
 
     @Override
     public byte[] encodeCommand(String statement, int omittedBytes) {
-        byte[] whole = batch(statement);
-        return Arrays.copyOf(whole, whole.length - omittedBytes);
+        byte[] command = batch(statement);
+        return Arrays.copyOf(command, command.length - omittedBytes);
     }
 
     void sendAttention(Socket socket) throws IOException {
