--- a/src/main/java/crankwick/app/EmulateCommand.java
+++ b/src/main/java/crankwick/app/EmulateCommand.java
@@ -16,12 +16,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code emulate}: stand-in databases and discovery on loopback sockets. */
+/** {@code emulate}: emulated databases and discovery on loopback sockets. */
 @Command(
         name = "emulate",
-        description = "Modelled groups of three databases on loopback ports, and "
-                + "discovery that lists them. Ends by itself; exit code 1 if a key was applied twice, a request "
-                + "sent twice at once, or a database pushed over.",
+        description = "Runs modelled groups of three databases on loopback ports, and discovery that lists them. "
+                + "Exits after --seconds; with code 1 if a key was applied twice, two attempts of a request were in "
+                + "flight at once, or a database collapsed under overload.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class)
 final class EmulateCommand implements Callable<Integer> {
@@ -31,43 +31,48 @@
     private static final int MAX_INTERVAL_MILLIS = 3_600_000;
     private static final int MAX_DURATION_SECONDS = 86_400;
 
-    @Option(names = "--wire", defaultValue = "pg", description = "pg or tds; default ${DEFAULT-VALUE}.")
+    @Option(names = "--wire", defaultValue = "pg", description = "Protocol: pg or tds; default ${DEFAULT-VALUE}.")
     private String protocol;
 
-    @Option(names = "--groups", defaultValue = "4", description = "1 to 50; default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--groups",
+            defaultValue = "4",
+            description = "Number of groups, 1 to 50; default ${DEFAULT-VALUE}.")
     private int groups;
 
     @Option(
             names = "--changes",
             defaultValue = "0",
-            description = "Changes of primaries, 0 to 10000; " + "default ${DEFAULT-VALUE}.")
+            description = "Number of faults of primaries, 0 to 10000; default ${DEFAULT-VALUE}.")
     private int failovers;
 
     @Option(
             names = "--every-ms",
             defaultValue = "3000",
-            description = "From one to the next, 100 to " + "3600000; default ${DEFAULT-VALUE}.")
+            description = "Interval between faults in ms, 100 to 3600000; default ${DEFAULT-VALUE}.")
     private long intervalMillis;
 
     @Option(
             names = "--seconds",
             defaultValue = "60",
-            description = "How long it runs, 1 to 86400; " + "default ${DEFAULT-VALUE}.")
+            description = "Duration of the run, 1 to 86400; default ${DEFAULT-VALUE}.")
     private long durationSeconds;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "Of troubles and delays; default " + "${DEFAULT-VALUE}.")
+            description = "Seed of the faults and delays; default ${DEFAULT-VALUE}.")
     private long seed;
 
     @Option(
             names = "--zone",
             defaultValue = "ulemiste",
-            description = "The zone that all are listed in; " + "default ${DEFAULT-VALUE}.")
+            description = "Zone of all listed databases; default ${DEFAULT-VALUE}.")
     private String zone;
 
-    @Option(names = "--zone-file", description = "Also writes DNS-SD records here, for the TDS front.")
+    @Option(
+            names = "--zone-file",
+            description = "File to which DNS-SD records are written as well, for the TDS listener.")
     private Path zoneFile;
 
     @Spec
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Modelled groups of databases on loopback sockets: each member listens at a port of its own and does what
- * {@link GroupModel} says. A crashed member's port refuses, a hung one's connections stay and say nothing. All
- * state changes on one loop.
+ * Runs modelled groups of databases on loopback sockets: each member listens on its own port and behaves as its
+ * group's {@link GroupModel} specifies. The port of a crashed member refuses connections; the connections of a hung
+ * member stay open without a response. All state changes on one event loop.
  */
 public final class DatabaseEmulator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DatabaseEmulator.class);
@@ -32,17 +32,17 @@
     private static final long MIN_RESTART_DELAY_MICROS = 600_000;
     private static final long MAX_RESTART_DELAY_MICROS = 6_000_000;
     private static final long RESTART_RETRY_MICROS = 500_000;
-    /** How late the endpoint list shows a fault. */
-    private static final long MIN_FAULT_LIST_DELAY_MICROS = 20_000;
+    /** The delay until the endpoint list shows a fault. */
+    private static final long MIN_FAULT_LISTING_DELAY_MICROS = 20_000;
 
-    private static final long MAX_FAULT_LIST_DELAY_MICROS = 300_000;
-    /** How late the endpoint list shows a new leader. */
-    private static final long MIN_LEADER_LIST_DELAY_MICROS = 2_800_000;
+    private static final long MAX_FAULT_LISTING_DELAY_MICROS = 300_000;
+    /** The delay until the endpoint list shows a new leader. */
+    private static final long MIN_LEADER_LISTING_DELAY_MICROS = 2_800_000;
 
-    private static final long MAX_LEADER_LIST_DELAY_MICROS = 4_900_000;
+    private static final long MAX_LEADER_LISTING_DELAY_MICROS = 4_900_000;
 
     private final CodecFilter codec;
-    private final EmulatedEndpointList list;
+    private final EmulatedEndpointList endpointList;
     private final ModelSettings settings = ModelSettings.DEFAULT;
     private final Transport transport = new Transport();
     private final EventLoop loop = new EventLoop("emulate");
@@ -51,12 +51,13 @@
     private final List<EmulatedGroup> groups = new ArrayList<>();
     private final ExecutionLog executionLog = new ExecutionLog();
     private final MemberConnections connections = new MemberConnections(loop, executionLog, this::deliver);
-    private int faultsLeft;
+    private int remainingFaults;
 
-    /** Emulates so many groups on a wire; {@code list} tells proxies of them. */
-    public DatabaseEmulator(CodecFilter codec, int groups, long seed, EmulatedEndpointList list) throws IOException {
+    /** Starts {@code groups} modelled groups that use the codec's protocol, and publishes their endpoints. */
+    public DatabaseEmulator(CodecFilter codec, int groups, long seed, EmulatedEndpointList endpointList)
+            throws IOException {
         this.codec = codec;
-        this.list = list;
+        this.endpointList = endpointList;
         random = new SplittableRandom(seed);
         for (int i = 0; i < groups; i++) {
             GroupModel model = new GroupModel(settings, random.nextLong(), clock.now());
@@ -65,9 +66,9 @@
             for (int member = 0; member < settings.memberCount(); member++) {
                 listen(group, member);
             }
-            list.set(group.endpoints());
+            endpointList.update(group.endpoints());
         }
-        list.publish();
+        endpointList.publish();
     }
 
     private void listen(EmulatedGroup group, int member) throws IOException {
@@ -79,19 +80,19 @@
 
     // ---- Faults --------------------------------------------------------------------------------------
 
-    /** Lets so many leaders fail or drain, each so many microseconds after the one before. */
+    /** Schedules {@code count} crashes, hangs or drains of leaders, at least {@code intervalMicros} apart. */
     public void scheduleFaults(int count, long intervalMicros) {
-        faultsLeft = count;
+        remainingFaults = count;
         loop.schedule(intervalMicros, () -> injectNextFault(intervalMicros));
     }
 
     private void injectNextFault(long intervalMicros) {
-        if (faultsLeft == 0) {
+        if (remainingFaults == 0) {
             return;
         }
         List<EmulatedGroup> healthy = groups.stream().filter(this::isHealthy).toList();
         if (!healthy.isEmpty()) {
-            faultsLeft--;
+            remainingFaults--;
             EmulatedGroup group = healthy.get(random.nextInt(healthy.size()));
             int leader = group.model().leader();
             inject(group, leader, LEADER_FAULTS[random.nextInt(LEADER_FAULTS.length)]);
@@ -101,10 +102,10 @@
         loop.schedule(intervalMicros, () -> injectNextFault(intervalMicros));
     }
 
-    /** There is a leader, and all members are there to take over. */
+    /** True if the group has a leader, and all members are responsive and not draining. */
     private boolean isHealthy(EmulatedGroup group) {
         GroupModel model = group.model();
-        for (int member = 0; member < group.members(); member++) {
+        for (int member = 0; member < group.memberCount(); member++) {
             if (!model.isResponsive(member) || model.isDraining(member)) {
                 return false;
             }
@@ -122,18 +123,19 @@
     }
 
     private void inject(EmulatedGroup group, int member, Kind kind) {
-        LOG.info("group {} member {}: {}", group.id(), member, kind);
+        LOG.info("group {} member {}: injecting {}", group.id(), member, kind);
         long startedAt = group.model().startedAt(member);
         deliver(group, new ModelEvent.FaultInjected(kind, member));
         updateListener(group, member, startedAt);
         if (kind == Kind.RESTART) {
-            connections.answerPendingLogins(group, member);
+            connections.acceptPendingLogins(group, member);
         }
-        list.set(group.endpoints());
-        loop.schedule(random.nextLong(MIN_FAULT_LIST_DELAY_MICROS, MAX_FAULT_LIST_DELAY_MICROS), list::publish);
+        endpointList.update(group.endpoints());
+        loop.schedule(
+                random.nextLong(MIN_FAULT_LISTING_DELAY_MICROS, MAX_FAULT_LISTING_DELAY_MICROS), endpointList::publish);
     }
 
-    /** A port refuses while its process is down, and is opened anew by the next process. */
+    /** Closes the port of a member that is down or was restarted, and reopens it if the member accepts connections. */
     private void updateListener(EmulatedGroup group, int member, long previousStart) {
         GroupModel model = group.model();
         try {
@@ -144,13 +146,17 @@
                 listen(group, member);
             }
         } catch (IOException e) {
-            LOG.warn("group {} member {} can't listen again", group.id(), member, e);
+            LOG.warn(
+                    "group {} member {}: failed to reopen its port; it stays closed until the next fault or restart",
+                    group.id(),
+                    member,
+                    e);
         }
     }
 
     private void close(EmulatedGroup group, int member) {
         group.stopListening(member);
-        connections.breakAll(group, member);
+        connections.closeAll(group, member);
     }
 
     // ---- The model -----------------------------------------------------------------------------------
@@ -158,7 +164,7 @@
     private void deliver(EmulatedGroup group, ModelEvent event) {
         List<ModelEffect> effects = new ArrayList<>(2);
         group.model().handle(event, clock.now(), effects::add);
-        effects.forEach(effect -> carryOut(group, effect));
+        effects.forEach(effect -> apply(group, effect));
         long dueAt = group.model().nextTimerDue();
         if (dueAt < group.timerDueAt()) {
             group.setTimerDueAt(dueAt);
@@ -171,11 +177,11 @@
         }
     }
 
-    private void carryOut(EmulatedGroup group, ModelEffect effect) {
+    private void apply(EmulatedGroup group, ModelEffect effect) {
         if (effect instanceof ModelEffect.ResponseSent e) {
-            connections.answer(e);
+            connections.respond(e);
         } else if (effect instanceof ModelEffect.ConnectionFailed e) {
-            connections.breakConnection(e.exchangeId());
+            connections.closeConnection(e.exchangeId());
         } else if (effect instanceof ModelEffect.WriteAppended e) {
             executionLog.recordApplied(e.idempotencyKey());
         } else if (effect instanceof ModelEffect.WriteRolledBack e) {
@@ -193,39 +199,39 @@
     }
 
     private void onLeaderElected(EmulatedGroup group, int leader) {
-        LOG.info("group {} is led by member {}", group.id(), leader);
+        LOG.info("group {} elected member {} as leader", group.id(), leader);
         executionLog.recordLeaderElected(
                 group.id(),
                 clock.now(),
                 leader != group.lastLeader(),
                 clock.now() < group.model().startedAt(leader) + settings.warmUpMicros());
         group.setLastLeader(leader);
-        loop.schedule(random.nextLong(MIN_LEADER_LIST_DELAY_MICROS, MAX_LEADER_LIST_DELAY_MICROS), () -> {
-            list.set(group.endpointsLedBy(leader));
-            list.publish();
+        loop.schedule(random.nextLong(MIN_LEADER_LISTING_DELAY_MICROS, MAX_LEADER_LISTING_DELAY_MICROS), () -> {
+            endpointList.update(group.endpointsWithPrimary(leader));
+            endpointList.publish();
         });
     }
 
-    // ---- For callers ---------------------------------------------------------------------------------
+    // ---- Accessors -----------------------------------------------------------------------------------
 
-    /** Where the list of databases is served over HTTP. */
+    /** The port on which the endpoint list is served over HTTP. */
     public int discoveryPort() {
-        return list.port();
+        return endpointList.port();
     }
 
-    /** The whole list as it is served now. */
+    /** The complete endpoint list as it is served now, in JSON. */
     public String endpointsJson() {
-        return list.json();
+        return endpointList.json();
     }
 
-    /** What the databases have done so far. */
+    /** The record of what the databases have executed so far. */
     public ExecutionLog executionLog() {
         return executionLog;
     }
 
     @Override
     public void close() throws IOException {
-        list.close();
+        endpointList.close();
         transport.close();
         loop.close();
     }
--- a/src/main/java/crankwick/emulator/EmulatedConnection.java
+++ b/src/main/java/crankwick/emulator/EmulatedConnection.java
@@ -3,7 +3,7 @@
 import java.net.SocketAddress;
 import org.glassfish.grizzly.Connection;
 
-/** A proxy's connection to a member, with one statement or health check at a time. */
+/** A proxy's connection to a member, with at most one exchange (statement or health check) at a time. */
 final class EmulatedConnection {
     private static final long NO_EXCHANGE = 0;
 
@@ -30,7 +30,7 @@
         return member;
     }
 
-    boolean isTo(EmulatedGroup otherGroup, int otherMember) {
+    boolean belongsTo(EmulatedGroup otherGroup, int otherMember) {
         return group == otherGroup && member == otherMember;
     }
 
@@ -38,7 +38,7 @@
         return connection;
     }
 
-    /** What the model works on for this connection; 0 for nothing. */
+    /** The exchange that the model processes for this connection; 0 for none. */
     long exchangeId() {
         return exchangeId;
     }
@@ -69,12 +69,12 @@
         return write;
     }
 
-    /** The request of its last statement; null before the first. */
+    /** The request ID of the connection's last statement; null before the first. */
     String requestId() {
         return requestId;
     }
 
-    /** Whether a hung member has not answered the login. */
+    /** Whether the login has no response yet, because the member hangs. */
     boolean isLoginPending() {
         return loginPending;
     }
--- a/src/main/java/crankwick/emulator/EmulatedEndpoint.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpoint.java
@@ -5,20 +5,20 @@
 /**
  * A database as the endpoint list shows it.
  *
- * @param role UNKNOWN keeps the role that was listed before
- * @param startedAtMillis Unix time of its start; 0 for long ago
+ * @param role UNKNOWN keeps the role that the list showed before
+ * @param startedAtMillis when its process started, in Unix milliseconds; 0 if long ago
  */
 record EmulatedEndpoint(String id, int port, long groupId, Role role, boolean draining, long startedAtMillis) {
-    EmulatedEndpoint withRole(Role other) {
-        return new EmulatedEndpoint(id, port, groupId, other, draining, startedAtMillis);
+    EmulatedEndpoint withRole(Role newRole) {
+        return new EmulatedEndpoint(id, port, groupId, newRole, draining, startedAtMillis);
     }
 
-    /** Its lifecycle, in the word of discovery and of zone files. */
+    /** The lifecycle state, as written in discovery responses and zone files. */
     String state() {
         return draining ? "draining" : "up";
     }
 
-    /** Its role, in the word of discovery and of zone files. */
+    /** The role, as written in discovery responses and zone files. */
     String mode() {
         return role == Role.PRIMARY ? "read-write" : "read-only";
     }
--- a/src/main/java/crankwick/emulator/EmulatedEndpointList.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpointList.java
@@ -17,21 +17,21 @@
 import java.util.Map;
 import java.util.concurrent.Executors;
 
-/** Lists the emulated databases for proxies: over HTTP as the platform's discovery, and as a zone file. */
+/** Publishes the endpoints of emulated databases to proxies: over HTTP as discovery does, and in a zone file. */
 public final class EmulatedEndpointList implements AutoCloseable {
     private static final long MAX_HOLD_MILLIS = 60_000;
     private static final long RECHECK_MILLIS = 100;
 
-    private final Map<String, EmulatedEndpoint> current = new LinkedHashMap<>();
+    private final Map<String, EmulatedEndpoint> pending = new LinkedHashMap<>();
     private final String zoneName;
-    /** Null for none. */
+    /** Null if no zone file is written. */
     private final ZoneFile zoneFile;
 
     private final HttpServer server;
     private List<EmulatedEndpoint> published = List.of();
     private long version;
 
-    /** Listens at a port of its own; {@code zoneFile} may be null for none. */
+    /** Listens on an ephemeral port; writes no zone file if {@code zoneFile} is null. */
     public EmulatedEndpointList(String zoneName, Path zoneFile) throws IOException {
         this.zoneName = zoneName;
         this.zoneFile = zoneFile == null ? null : new ZoneFile(zoneName, zoneFile);
@@ -41,34 +41,34 @@
             thread.setDaemon(true);
             return thread;
         }));
-        server.createContext("/discovery/hosts", this::answer);
+        server.createContext("/discovery/hosts", this::handleRequest);
         server.start();
     }
 
-    /** Where it listens. */
+    /** The port on which the list is served. */
     public int port() {
         return server.getAddress().getPort();
     }
 
-    /** Sets endpoints, which are served once they are published. */
-    synchronized void set(List<EmulatedEndpoint> endpoints) {
+    /** Adds or replaces endpoints; {@link #publish} makes the change visible. */
+    synchronized void update(List<EmulatedEndpoint> endpoints) {
         for (EmulatedEndpoint endpoint : endpoints) {
             Role role = endpoint.role() == Role.UNKNOWN ? listedRole(endpoint.id()) : endpoint.role();
-            current.put(endpoint.id(), endpoint.withRole(role));
+            pending.put(endpoint.id(), endpoint.withRole(role));
         }
     }
 
     private Role listedRole(String id) {
-        EmulatedEndpoint listed = current.get(id);
+        EmulatedEndpoint listed = pending.get(id);
         if (listed != null) {
             return listed.role();
         }
         return id.endsWith("m0") ? Role.PRIMARY : Role.REPLICA;
     }
 
-    /** Serves what has been set from now on. */
+    /** Publishes all updates so far as a new version of the list. */
     synchronized void publish() {
-        published = new ArrayList<>(current.values());
+        published = new ArrayList<>(pending.values());
         version++;
         notifyAll();
         if (zoneFile != null) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The whole list as discovery has it. */
+    /** The complete published list, in the JSON format of discovery. */
     public synchronized String json() {
         JsonObject root = new JsonObject();
         root.addProperty("version", version);
@@ -99,20 +99,20 @@
         return server;
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void handleRequest(HttpExchange exchange) throws IOException {
         String query = exchange.getRequestURI().getQuery();
-        long from = query == null ? -1 : Long.parseLong(query.replaceAll("from=(\\d+).*", "$1"));
-        long hold = query == null ? 0 : Long.parseLong(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
-        byte[] body = awaitVersionAfter(from, hold).getBytes(StandardCharsets.UTF_8);
+        long knownVersion = query == null ? -1 : Long.parseLong(query.replaceAll("from=(\\d+).*", "$1"));
+        long holdMillis = query == null ? 0 : Long.parseLong(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
+        byte[] body = awaitVersionAfter(knownVersion, holdMillis).getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(HttpURLConnection.HTTP_OK, body.length);
         exchange.getResponseBody().write(body);
         exchange.close();
     }
 
-    /** The list once it is newer than a version, or as it is at the end of the hold. */
-    private synchronized String awaitVersionAfter(long from, long holdMillis) {
-        long until = System.currentTimeMillis() + Math.min(MAX_HOLD_MILLIS, holdMillis);
-        while (from >= version && System.currentTimeMillis() < until) {
+    /** Waits until the list is newer than {@code knownVersion} or the hold has expired, and returns the list. */
+    private synchronized String awaitVersionAfter(long knownVersion, long holdMillis) {
+        long deadline = System.currentTimeMillis() + Math.min(MAX_HOLD_MILLIS, holdMillis);
+        while (knownVersion >= version && System.currentTimeMillis() < deadline) {
             try {
                 wait(RECHECK_MILLIS);
             } catch (InterruptedException e) {
--- a/src/main/java/crankwick/emulator/EmulatedGroup.java
+++ b/src/main/java/crankwick/emulator/EmulatedGroup.java
@@ -6,24 +6,24 @@
 import java.util.List;
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
-/** A modelled group whose members listen at ports. */
+/** A modelled group and the listeners of its members. */
 final class EmulatedGroup {
     private static final long MICROS_PER_MILLI = 1_000;
 
     private final int id;
     private final GroupModel model;
-    private final int members;
+    private final int memberCount;
     private final int[] ports;
     private final TCPNIOServerConnection[] listeners;
     private long timerDueAt = Long.MAX_VALUE;
     private int lastLeader;
 
-    EmulatedGroup(int id, GroupModel model, int members) {
+    EmulatedGroup(int id, GroupModel model, int memberCount) {
         this.id = id;
         this.model = model;
-        this.members = members;
-        ports = new int[members];
-        listeners = new TCPNIOServerConnection[members];
+        this.memberCount = memberCount;
+        ports = new int[memberCount];
+        listeners = new TCPNIOServerConnection[memberCount];
     }
 
     int id() {
@@ -34,11 +34,11 @@
         return model;
     }
 
-    int members() {
-        return members;
+    int memberCount() {
+        return memberCount;
     }
 
-    /** A member's port; 0 before it first listened. */
+    /** A member's port; 0 before its first listener is bound. */
     int port(int member) {
         return ports[member];
     }
@@ -56,7 +56,7 @@
         listeners[member].closeSilently();
     }
 
-    /** When the model's next timer is scheduled; Long.MAX_VALUE for never. */
+    /** When the scheduled timer event of the model is due; Long.MAX_VALUE if none is scheduled. */
     long timerDueAt() {
         return timerDueAt;
     }
@@ -73,19 +73,19 @@
         lastLeader = member;
     }
 
-    /** The members with the roles of a new leadership. */
-    List<EmulatedEndpoint> endpointsLedBy(int leader) {
+    /** The members' endpoints, with the leader as primary and the others as replicas. */
+    List<EmulatedEndpoint> endpointsWithPrimary(int leader) {
         List<EmulatedEndpoint> endpoints = new ArrayList<>();
-        for (int member = 0; member < members; member++) {
+        for (int member = 0; member < memberCount; member++) {
             endpoints.add(endpoint(member, member == leader ? Role.PRIMARY : Role.REPLICA));
         }
         return endpoints;
     }
 
-    /** The members without a word on their roles. */
+    /** The members' endpoints without their roles, so that the list keeps those it shows. */
     List<EmulatedEndpoint> endpoints() {
         List<EmulatedEndpoint> endpoints = new ArrayList<>();
-        for (int member = 0; member < members; member++) {
+        for (int member = 0; member < memberCount; member++) {
             endpoints.add(endpoint(member, Role.UNKNOWN));
         }
         return endpoints;
--- a/src/main/java/crankwick/emulator/ExecutionLog.java
+++ b/src/main/java/crankwick/emulator/ExecutionLog.java
@@ -6,18 +6,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** What emulated databases have done, for whoever compares it with the replies that clients got. */
+/** Records what the emulated databases executed, to be compared with the replies that clients received. */
 public final class ExecutionLog {
     /**
-     * A time without a leader.
+     * A period in which a group had no leader.
      *
-     * @param from its begin, in Unix microseconds
-     * @param until its end; Long.MAX_VALUE while it lasts
-     * @param planned whether the leader drained
-     * @param warmingUp whether the leader that ended it was not warm, so that it could not be sent all that waited
+     * @param from its start, in Unix microseconds
+     * @param until its end, in Unix microseconds; Long.MAX_VALUE while it is ongoing
+     * @param planned whether the previous leader was draining
+     * @param warmingUp whether the leader elected at its end was still warming up, so that it could not be sent all
+     *     buffered writes at once
      */
     public record LeaderlessPeriod(int group, long from, long until, boolean planned, boolean warmingUp) {
-        boolean lasts() {
+        boolean isOngoing() {
             return until == Long.MAX_VALUE;
         }
 
@@ -50,7 +51,7 @@
     synchronized void recordLeaderElected(int group, long at, boolean changed, boolean warmingUp) {
         failovers += changed ? 1 : 0;
         leaderlessPeriods.replaceAll(
-                period -> period.group() == group && period.lasts() ? period.endedAt(at, warmingUp) : period);
+                period -> period.group() == group && period.isOngoing() ? period.endedAt(at, warmingUp) : period);
     }
 
     synchronized void recordCollapse() {
@@ -61,27 +62,27 @@
         concurrentAttempts++;
     }
 
-    /** When groups took no writes, in the order of their beginnings. */
+    /** The periods in which groups accepted no writes, ordered by start. */
     public synchronized List<LeaderlessPeriod> leaderlessPeriods() {
         return List.copyOf(leaderlessPeriods);
     }
 
-    /** How many times a key stands in its group's log now. */
+    /** The number of writes with this key in its group's log, without those that were rolled back. */
     public synchronized int timesApplied(String key) {
         return timesApplied.getOrDefault(key, 0);
     }
 
-    /** Changes of leaders so far. */
+    /** The number of elections so far of a member other than the group's previous leader. */
     public synchronized long failovers() {
         return failovers;
     }
 
-    /** False if a key was applied twice, a request was at two databases at once, or one collapsed. */
+    /** False if a key was applied twice, two attempts of a request were in flight at once, or a database collapsed. */
     public synchronized boolean hasNoViolations() {
         return appliedTwice + concurrentAttempts + collapses == 0;
     }
 
-    /** All statistics under the names that the command line prints; only "changes" and "keys" may be other than 0. */
+    /** The statistics under the names that the command prints; all but "changes" and "keys" count violations. */
     public synchronized Map<String, Object> statistics() {
         Map<String, Object> statistics = new LinkedHashMap<>();
         statistics.put("changes", failovers);
--- a/src/main/java/crankwick/emulator/MemberConnections.java
+++ b/src/main/java/crankwick/emulator/MemberConnections.java
@@ -16,28 +16,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The connections of proxies to all members, and what is in flight on them; used on the loop alone. */
+/** The connections of proxies to all members, and the exchanges in flight on them. Used only on the event loop. */
 final class MemberConnections {
     private static final Logger LOG = LoggerFactory.getLogger(MemberConnections.class);
-    /** The end of a connection may be noticed after what its peer did next on another. */
-    private static final long CROSSING_GRACE_MICROS = 250_000;
+    /** The loop may learn that a connection was closed only after the proxy's next statement on another connection. */
+    private static final long CLOSE_DETECTION_GRACE_MICROS = 250_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
-    /** How a statement begins; health checks have no comment. */
+    /** The prefix of statements, which begin with a comment; health checks have none. */
     private static final String STATEMENT_PREFIX = "/*";
 
     private final EventLoop loop;
     private final ExecutionLog executionLog;
-    private final BiConsumer<EmulatedGroup, ModelEvent> model;
+    private final BiConsumer<EmulatedGroup, ModelEvent> eventHandler;
     private final Map<Connection<SocketAddress>, EmulatedConnection> connections = new HashMap<>();
-    private final Map<Long, EmulatedConnection> byExchange = new HashMap<>();
-    private final Map<String, EmulatedConnection> byRequest = new HashMap<>();
-    private long exchanges;
+    private final Map<Long, EmulatedConnection> connectionByExchange = new HashMap<>();
+    private final Map<String, EmulatedConnection> connectionByRequest = new HashMap<>();
+    private long lastExchangeId;
 
-    MemberConnections(EventLoop loop, ExecutionLog executionLog, BiConsumer<EmulatedGroup, ModelEvent> model) {
+    MemberConnections(EventLoop loop, ExecutionLog executionLog, BiConsumer<EmulatedGroup, ModelEvent> eventHandler) {
         this.loop = loop;
         this.executionLog = executionLog;
-        this.model = model;
+        this.eventHandler = eventHandler;
     }
 
     void onAccepted(EmulatedGroup group, int member, Connection<SocketAddress> connection) {
@@ -54,14 +54,14 @@
     void onClosed(Connection<SocketAddress> connection) {
         EmulatedConnection emulated = connections.get(connection);
         if (emulated != null) {
-            forget(emulated);
+            remove(emulated);
         }
     }
 
     private void onMessage(EmulatedConnection connection, ClientMessage message) {
         if (message instanceof ClientMessage.Login) {
             if (connection.group().model().isResponsive(connection.member())) {
-                welcome(connection);
+                acceptLogin(connection);
             } else {
                 connection.setLoginPending(true);
             }
@@ -72,36 +72,37 @@
         }
     }
 
-    private void welcome(EmulatedConnection connection) {
+    private void acceptLogin(EmulatedConnection connection) {
         connection.setLoginPending(false);
         connection.connection().write(new ClientReply.LoginAccepted());
     }
 
     private void onQuery(EmulatedConnection connection, String text) {
-        long exchangeId = ++exchanges;
+        long exchangeId = ++lastExchangeId;
         boolean healthCheck = !text.startsWith(STATEMENT_PREFIX);
         connection.beginExchange(exchangeId, healthCheck);
-        byExchange.put(exchangeId, connection);
+        connectionByExchange.put(exchangeId, connection);
         if (healthCheck) {
-            model.accept(connection.group(), new ModelEvent.HealthCheckReceived(exchangeId, connection.member()));
+            eventHandler.accept(
+                    connection.group(), new ModelEvent.HealthCheckReceived(exchangeId, connection.member()));
             return;
         }
         try {
             onStatement(connection, Statement.parse(text));
         } catch (IllegalArgumentException e) {
-            LOG.warn("malformed statement: {}", text);
-            byExchange.remove(connection.exchangeId());
+            LOG.warn("malformed statement; closing its connection: {}", text);
+            connectionByExchange.remove(connection.exchangeId());
             connection.connection().terminateSilently();
         }
     }
 
     private void onStatement(EmulatedConnection connection, Statement statement) {
         connection.setStatement(statement.requestId(), statement.idempotencyKey() != null);
-        EmulatedConnection earlier = byRequest.put(statement.requestId(), connection);
+        EmulatedConnection earlier = connectionByRequest.put(statement.requestId(), connection);
         if (earlier != null) {
             checkConcurrentAttempt(earlier);
         }
-        model.accept(
+        eventHandler.accept(
                 connection.group(),
                 new ModelEvent.StatementReceived(
                         connection.exchangeId(),
@@ -110,70 +111,70 @@
                         Math.max(0, statement.requiredPositionMillis() * MICROS_PER_MILLI)));
     }
 
-    /** A request's earlier attempt that does not end soon was in flight beside the next one. */
+    /** Records a concurrent attempt if the request's earlier attempt is still in flight after the grace period. */
     private void checkConcurrentAttempt(EmulatedConnection earlier) {
         long earlierExchange = earlier.exchangeId();
-        loop.schedule(CROSSING_GRACE_MICROS, () -> {
-            boolean open = connections.get(earlier.connection()) == earlier;
-            if (open && earlier.exchangeId() == earlierExchange) {
+        loop.schedule(CLOSE_DETECTION_GRACE_MICROS, () -> {
+            boolean stillOpen = connections.get(earlier.connection()) == earlier;
+            if (stillOpen && earlier.exchangeId() == earlierExchange) {
                 executionLog.recordConcurrentAttempt();
             }
         });
     }
 
-    private void forget(EmulatedConnection connection) {
+    private void remove(EmulatedConnection connection) {
         connections.remove(connection.connection());
-        if (connection.hasExchange() && byExchange.remove(connection.exchangeId()) != null) {
-            byRequest.remove(connection.requestId(), connection);
-            model.accept(connection.group(), new ModelEvent.ConnectionClosed(connection.exchangeId()));
+        if (connection.hasExchange() && connectionByExchange.remove(connection.exchangeId()) != null) {
+            connectionByRequest.remove(connection.requestId(), connection);
+            eventHandler.accept(connection.group(), new ModelEvent.ConnectionClosed(connection.exchangeId()));
         }
     }
 
-    /** Answers what came on a connection, if that is still open. */
-    void answer(ModelEffect.ResponseSent answer) {
-        EmulatedConnection connection = byExchange.remove(answer.exchangeId());
+    /** Sends the response of an exchange, if its connection is still open. */
+    void respond(ModelEffect.ResponseSent response) {
+        EmulatedConnection connection = connectionByExchange.remove(response.exchangeId());
         if (connection == null) {
             return;
         }
         connection.endExchange();
-        byRequest.remove(connection.requestId(), connection);
+        connectionByRequest.remove(connection.requestId(), connection);
         connection
                 .connection()
                 .write(new EmulatedResponse(
-                        answer.result(),
-                        answer.role(),
-                        answer.position(),
-                        answer.report(),
+                        response.result(),
+                        response.role(),
+                        response.position(),
+                        response.report(),
                         "value of " + connection.requestId(),
                         connection.isHealthCheck(),
                         connection.isWrite()));
     }
 
-    /** Breaks the connection of an exchange. */
-    void breakConnection(long exchangeId) {
-        EmulatedConnection connection = byExchange.get(exchangeId);
+    /** Closes the connection of an exchange. */
+    void closeConnection(long exchangeId) {
+        EmulatedConnection connection = connectionByExchange.get(exchangeId);
         if (connection != null) {
             connection.connection().terminateSilently();
-            byExchange.remove(exchangeId);
-            byRequest.remove(connection.requestId(), connection);
+            connectionByExchange.remove(exchangeId);
+            connectionByRequest.remove(connection.requestId(), connection);
         }
     }
 
-    /** Breaks all connections to a member. */
-    void breakAll(EmulatedGroup group, int member) {
+    /** Closes all connections to a member. */
+    void closeAll(EmulatedGroup group, int member) {
         for (EmulatedConnection connection : List.copyOf(connections.values())) {
-            if (connection.isTo(group, member)) {
+            if (connection.belongsTo(group, member)) {
                 connection.connection().terminateSilently();
-                forget(connection);
+                remove(connection);
             }
         }
     }
 
-    /** Answers the logins that came while a member hung. */
-    void answerPendingLogins(EmulatedGroup group, int member) {
+    /** Accepts the logins that were received while the member hung. */
+    void acceptPendingLogins(EmulatedGroup group, int member) {
         connections.values().stream()
-                .filter(connection -> connection.isTo(group, member) && connection.isLoginPending())
+                .filter(connection -> connection.belongsTo(group, member) && connection.isLoginPending())
                 .toList()
-                .forEach(this::welcome);
+                .forEach(this::acceptLogin);
     }
 }
--- a/src/main/java/crankwick/emulator/MemberFilter.java
+++ b/src/main/java/crankwick/emulator/MemberFilter.java
@@ -10,7 +10,7 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The chain's last filter of one member: passes what the codec has read on to the loop. */
+/** The last filter in a member's chain: passes decoded messages and connection events to the event loop. */
 final class MemberFilter extends BaseFilter {
     private final EmulatedGroup group;
     private final int member;
--- a/src/main/java/crankwick/emulator/ZoneFile.java
+++ b/src/main/java/crankwick/emulator/ZoneFile.java
@@ -6,7 +6,7 @@
 import java.nio.file.StandardCopyOption;
 import java.util.List;
 
-/** Writes endpoints as DNS-SD records of a zone file, which is replaced as a whole. */
+/** Writes endpoints as DNS-SD records to a zone file, which is replaced atomically. */
 final class ZoneFile {
     private final String zoneName;
     private final Path file;
@@ -18,11 +18,11 @@
 
     void write(List<EmulatedEndpoint> endpoints) {
         try {
-            Path complete = file.resolveSibling(file.getFileName() + ".new");
-            Files.writeString(complete, records(endpoints));
-            Files.move(complete, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+            Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
+            Files.writeString(temporaryFile, records(endpoints));
+            Files.move(temporaryFile, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            throw new IllegalStateException("the zone's file can't be written", e);
+            throw new IllegalStateException("failed to write the zone file", e);
         }
     }
 
--- a/src/main/java/crankwick/emulator/package-info.java
+++ b/src/main/java/crankwick/emulator/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The model of one group of databases on loopback sockets, with a discovery that lists it; for tests.
+ * Emulates groups of databases on loopback sockets, with a discovery service that lists them; for tests.
  */
 package crankwick.emulator;
--- a/src/main/java/crankwick/pg/PgClientCodec.java
+++ b/src/main/java/crankwick/pg/PgClientCodec.java
@@ -7,12 +7,12 @@
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
-/** The client's side of PostgreSQL's protocol: no password, simple queries. */
+/** Codec for client connections in PostgreSQL's protocol: logins without a password, simple queries only. */
 public final class PgClientCodec extends CodecFilter {
     private static final int SSL_REQUEST = 80877103;
     private static final int GSS_REQUEST = 80877104;
     private static final int CANCEL_REQUEST = 80877102;
-    /** A startup message's length and code. */
+    /** The length field and the code of a startup message. */
     private static final int STARTUP_HEADER_BYTES = 8;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -25,14 +25,14 @@
     }
 
     private static final class ClientDecoder extends Decoder {
-        private boolean started;
+        private boolean startupReceived;
 
         @Override
         protected boolean decode(ByteBuffer in, FilterChainContext context) {
-            return started ? command(in) : startup(in, context);
+            return startupReceived ? decodeCommand(in) : decodeStartup(in, context);
         }
 
-        private boolean startup(ByteBuffer in, FilterChainContext context) {
+        private boolean decodeStartup(ByteBuffer in, FilterChainContext context) {
             if (in.remaining() < PgProtocol.LENGTH_BYTES) {
                 return false;
             }
@@ -54,13 +54,13 @@
                         code >> PgProtocol.VERSION_MAJOR_SHIFT
                                 == PgProtocol.VERSION_3 >> PgProtocol.VERSION_MAJOR_SHIFT,
                         "unknown version of the protocol");
-                started = true;
+                startupReceived = true;
                 emit(new ClientMessage.Login(""));
             }
             return true;
         }
 
-        private boolean command(ByteBuffer in) {
+        private boolean decodeCommand(ByteBuffer in) {
             if (in.remaining() < PgProtocol.HEADER_BYTES) {
                 return false;
             }
@@ -93,8 +93,8 @@
             return new ClientMessage.ProtocolError(fault);
         }
 
-        private static void require(boolean holds, String fault) {
-            if (!holds) {
+        private static void require(boolean condition, String fault) {
+            if (!condition) {
                 throw new IllegalArgumentException(fault);
             }
         }
@@ -103,36 +103,36 @@
     @Override
     public byte[] encode(Object value) {
         PgWriter out = new PgWriter();
-        if (value instanceof ClientReply.RequestReply f) {
-            writeReply(out, f.reply());
+        if (value instanceof ClientReply.RequestReply requestReply) {
+            writeReply(out, requestReply.reply());
         } else if (value instanceof ClientReply.EmptyQueryResponse) {
-            out.end(PgProtocol.EMPTY_QUERY_RESPONSE);
-        } else if (value instanceof ClientReply.InvalidStatement u) {
-            writeError(out, PgProtocol.SEVERITY_ERROR, PgProtocol.SYNTAX_ERROR, u.fault(), null);
-        } else if (value instanceof ClientReply.ConnectionError f) {
+            out.endMessage(PgProtocol.EMPTY_QUERY_RESPONSE);
+        } else if (value instanceof ClientReply.InvalidStatement invalid) {
+            writeError(out, PgProtocol.SEVERITY_ERROR, PgProtocol.SYNTAX_ERROR, invalid.fault(), null);
+        } else if (value instanceof ClientReply.ConnectionError connectionError) {
             writeError(
                     out,
                     PgProtocol.SEVERITY_FATAL,
-                    switch (f.cause()) {
+                    switch (connectionError.cause()) {
                         case TOO_MANY_CONNECTIONS -> PgProtocol.TOO_MANY_CONNECTIONS;
                         case UNKNOWN_TEAM -> PgProtocol.INVALID_AUTHORIZATION;
                         case PROTOCOL_ERROR -> PgProtocol.PROTOCOL_VIOLATION;
                     },
-                    f.fault(),
+                    connectionError.fault(),
                     null);
             return out.toBytes();
         } else {
-            out.int32(0).end(PgProtocol.AUTHENTICATION);
-            out.text("server_version").text("14.0 (crankwick)").end(PgProtocol.PARAMETER_STATUS);
-            out.text("client_encoding").text("UTF8").end(PgProtocol.PARAMETER_STATUS);
+            out.int32(0).endMessage(PgProtocol.AUTHENTICATION);
+            out.text("server_version").text("14.0 (crankwick)").endMessage(PgProtocol.PARAMETER_STATUS);
+            out.text("client_encoding").text("UTF8").endMessage(PgProtocol.PARAMETER_STATUS);
         }
-        return out.int8(PgProtocol.IDLE).end(PgProtocol.READY_FOR_QUERY).toBytes();
+        return out.int8(PgProtocol.IDLE).endMessage(PgProtocol.READY_FOR_QUERY).toBytes();
     }
 
     private static void writeReply(PgWriter out, Reply reply) {
         if (reply instanceof Reply.Served served) {
             out.row(served.value());
-            out.text(served.write() ? "INSERT 0 1" : "SELECT 1").end(PgProtocol.COMMAND_COMPLETE);
+            out.text(served.write() ? "INSERT 0 1" : "SELECT 1").endMessage(PgProtocol.COMMAND_COMPLETE);
         } else if (reply instanceof Reply.Rejected rejected) {
             long millis = (rejected.retryAfter() + (MICROS_PER_MILLI - 1)) / MICROS_PER_MILLI;
             writeError(
@@ -164,6 +164,6 @@
         if (detail != null) {
             out.int8(PgProtocol.FIELD_DETAIL).text(detail);
         }
-        out.int8(0).end(PgProtocol.ERROR_RESPONSE);
+        out.int8(0).endMessage(PgProtocol.ERROR_RESPONSE);
     }
 }
--- a/src/main/java/crankwick/pg/PgDatabaseCodec.java
+++ b/src/main/java/crankwick/pg/PgDatabaseCodec.java
@@ -12,21 +12,21 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
 /**
- * The database's side of PostgreSQL's protocol. A response is accepted only in its exact sequence: a row's
- * description, one row and the command's completion, or an error; then the connection is ready. Parameters
- * and notices may stand between.
+ * Codec for database connections in PostgreSQL's protocol. A response is accepted only in its exact sequence:
+ * RowDescription, one DataRow and CommandComplete, or ErrorResponse; then ReadyForQuery. ParameterStatus and
+ * NoticeResponse may occur in between.
  */
 public final class PgDatabaseCodec extends CodecFilter {
     private static final int MAX_MESSAGE_BYTES = 128 * 1024;
-    /** What follows a column's name: table, column, type, size, modifier, format. */
+    /** The length of the fields after a column's name: table, column, type, size, modifier and format. */
     private static final int COLUMN_ATTRIBUTES_BYTES = 18;
 
     /** How much of a response has been received. */
     private enum Stage {
-        NOTHING,
-        DESCRIBED,
-        ROW,
-        DONE
+        NOT_STARTED,
+        ROW_DESCRIBED,
+        ROW_RECEIVED,
+        COMPLETE
     }
 
     @Override
@@ -35,10 +35,10 @@
     }
 
     private static final class DatabaseDecoder extends Decoder {
-        private boolean greeted;
+        private boolean handshakeComplete;
         private boolean healthCheck;
-        private Stage stage = Stage.NOTHING;
-        private boolean partialBytes;
+        private Stage stage = Stage.NOT_STARTED;
+        private boolean responseStarted;
         private String error;
         private byte[] value;
         private Role role = Role.UNKNOWN;
@@ -64,63 +64,68 @@
             }
             byte[] body = new byte[length - PgProtocol.LENGTH_BYTES];
             in.get(body);
-            partialBytes = true;
+            responseStarted = true;
             ByteBuffer fields = ByteBuffer.wrap(body);
-            take(type, fields);
-            require(!fields.hasRemaining(), "more than its fields in " + type);
+            onMessage(type, fields);
+            require(!fields.hasRemaining(), "extra bytes after the fields of message type " + type);
             return true;
         }
 
-        private void take(char type, ByteBuffer body) {
+        private void onMessage(char type, ByteBuffer body) {
             switch (type) {
-                case PgProtocol.PARAMETER_STATUS -> parameter(text(body), text(body));
+                case PgProtocol.PARAMETER_STATUS -> onParameter(text(body), text(body));
                 case PgProtocol.NOTICE_RESPONSE -> body.position(body.limit());
-                case PgProtocol.AUTHENTICATION -> require(!greeted && body.getInt() == 0, "a password is wanted");
+                case PgProtocol.AUTHENTICATION -> require(
+                        !handshakeComplete && body.getInt() == 0, "unsupported or unexpected authentication request");
                 case PgProtocol.BACKEND_KEY_DATA -> {
-                    require(!greeted, "a key out of place");
+                    require(!handshakeComplete, "BackendKeyData after the handshake");
                     body.getLong();
                 }
                 case PgProtocol.ROW_DESCRIPTION -> {
-                    advance(Stage.NOTHING, Stage.DESCRIBED, type);
-                    require(body.getShort() == 1, "not one column");
+                    advance(Stage.NOT_STARTED, Stage.ROW_DESCRIBED, type);
+                    require(body.getShort() == 1, "RowDescription without exactly one column");
                     text(body);
                     body.position(body.position() + COLUMN_ATTRIBUTES_BYTES);
                 }
                 case PgProtocol.DATA_ROW -> {
-                    advance(Stage.DESCRIBED, Stage.ROW, type);
-                    row(body);
+                    advance(Stage.ROW_DESCRIBED, Stage.ROW_RECEIVED, type);
+                    readRow(body);
                 }
                 case PgProtocol.COMMAND_COMPLETE -> {
-                    advance(Stage.ROW, Stage.DONE, type);
-                    require(!text(body).isEmpty(), "no command is complete");
+                    advance(Stage.ROW_RECEIVED, Stage.COMPLETE, type);
+                    require(!text(body).isEmpty(), "CommandComplete with an empty command tag");
                 }
                 case PgProtocol.ERROR_RESPONSE -> {
-                    require(error == null && stage != Stage.DONE, "an error out of place");
-                    if (error(body) || !greeted) {
-                        answered(true);
+                    require(error == null && stage != Stage.COMPLETE, "ErrorResponse after the end of the response");
+                    if (readError(body) || !handshakeComplete) {
+                        emitResponse(true);
                     }
                 }
                 case PgProtocol.READY_FOR_QUERY -> {
-                    require(body.get() == PgProtocol.IDLE, "a transaction");
-                    if (greeted) {
-                        require(error != null || stage == Stage.DONE, "ready without an answer");
-                        answered(false);
+                    require(body.get() == PgProtocol.IDLE, "ReadyForQuery with an open transaction");
+                    if (handshakeComplete) {
+                        require(
+                                error != null || stage == Stage.COMPLETE,
+                                "ReadyForQuery before the end of the response");
+                        emitResponse(false);
                     } else {
-                        greeted = true;
+                        handshakeComplete = true;
                         clear();
                         emitLast(new DatabaseMessage.ConnectionReady());
                     }
                 }
-                default -> throw new IllegalArgumentException("an unknown message");
+                default -> throw new IllegalArgumentException("unknown message type");
             }
         }
 
-        private void advance(Stage from, Stage to, char type) {
-            require(greeted && stage == from && error == null, type + " out of place");
-            stage = to;
+        private void advance(Stage expected, Stage next, char type) {
+            require(
+                    handshakeComplete && stage == expected && error == null,
+                    type + " message not expected at this point");
+            stage = next;
         }
 
-        private void parameter(String name, String content) {
+        private void onParameter(String name, String content) {
             switch (name) {
                 case "mode" -> role = LoadReportCodec.parseRole(content);
                 case "wal_time" -> position = LoadReportCodec.parsePosition(content);
@@ -129,20 +134,20 @@
             }
         }
 
-        private void row(ByteBuffer body) {
-            require(body.getShort() == 1, "not one value");
+        private void readRow(ByteBuffer body) {
+            require(body.getShort() == 1, "DataRow without exactly one value");
             int length = body.getInt();
             require(
                     length == body.remaining() || length == -1 && !body.hasRemaining(),
-                    "a value that does not fit its row");
+                    "value length does not match the length of the DataRow");
             value = length < 0 ? null : new byte[length];
             if (value != null) {
                 body.get(value);
             }
         }
 
-        /** Keeps the code; true if the connection ends with it. */
-        private boolean error(ByteBuffer body) {
+        /** Stores the SQLSTATE of an ErrorResponse; true if its severity ends the connection. */
+        private boolean readError(ByteBuffer body) {
             boolean fatal = false;
             error = "";
             for (byte field = body.get(); field != 0; field = body.get()) {
@@ -153,23 +158,23 @@
                     fatal |= content.equals(PgProtocol.SEVERITY_FATAL) || content.equals(PgProtocol.SEVERITY_PANIC);
                 }
             }
-            require(error.length() == PgProtocol.SQLSTATE_LENGTH, "an error without a code");
+            require(error.length() == PgProtocol.SQLSTATE_LENGTH, "ErrorResponse without a five-character SQLSTATE");
             return fatal;
         }
 
-        private void answered(boolean last) {
+        private void emitResponse(boolean last) {
             if (healthCheck && value != null) {
                 report = LoadReportCodec.parse(new String(value, PgWriter.CHARSET));
             }
-            AttemptResult result = error != null ? result(error) : AttemptResult.OK;
-            var answer = new DatabaseMessage.Response(result, role, position, report, value, last);
+            AttemptResult result = error != null ? resultOf(error) : AttemptResult.OK;
+            var response = new DatabaseMessage.Response(result, role, position, report, value, last);
             clear();
-            emitLast(answer);
+            emitLast(response);
         }
 
         private void clear() {
-            partialBytes = false;
-            stage = Stage.NOTHING;
+            responseStarted = false;
+            stage = Stage.NOT_STARTED;
             error = null;
             value = null;
             role = Role.UNKNOWN;
@@ -179,7 +184,7 @@
 
         @Override
         protected int partialBytes() {
-            return !partialBytes ? 0 : value == null ? 1 : value.length + 1;
+            return !responseStarted ? 0 : value == null ? 1 : value.length + 1;
         }
 
         @Override
@@ -187,7 +192,7 @@
             return new DatabaseMessage.ProtocolError(fault);
         }
 
-        private static AttemptResult result(String code) {
+        private static AttemptResult resultOf(String code) {
             return switch (code) {
                 case PgProtocol.READ_ONLY_TRANSACTION, PgProtocol.SNAPSHOT_TOO_OLD -> AttemptResult.INELIGIBLE_REPLICA;
                 case PgProtocol.TOO_MANY_CONNECTIONS, PgProtocol.CANNOT_CONNECT_NOW -> AttemptResult
@@ -204,8 +209,8 @@
             return new String(body.array(), start, body.position() - 1 - start, PgWriter.CHARSET);
         }
 
-        private static void require(boolean holds, String fault) {
-            if (!holds) {
+        private static void require(boolean condition, String fault) {
+            if (!condition) {
                 throw new IllegalArgumentException(fault);
             }
         }
@@ -214,11 +219,11 @@
     @Override
     public byte[] encode(Object value) {
         PgWriter out = new PgWriter();
-        if (value instanceof DatabaseCommand.Execute run) {
-            return out.text(run.text()).end(PgProtocol.QUERY).toBytes();
+        if (value instanceof DatabaseCommand.Execute execute) {
+            return out.text(execute.text()).endMessage(PgProtocol.QUERY).toBytes();
         }
         if (value instanceof DatabaseCommand.RequestLoadReport) {
-            return out.text("SHOW stats").end(PgProtocol.QUERY).toBytes();
+            return out.text("SHOW stats").endMessage(PgProtocol.QUERY).toBytes();
         }
         return out.int32(PgProtocol.VERSION_3)
                 .text("user")
@@ -226,7 +231,7 @@
                 .text("database")
                 .text("core")
                 .int8(0)
-                .end()
+                .endMessage()
                 .toBytes();
     }
 }
--- a/src/main/java/crankwick/pg/PgProtocol.java
+++ b/src/main/java/crankwick/pg/PgProtocol.java
@@ -1,11 +1,11 @@
 package crankwick.pg;
 
-/** The numbers, message types, error fields and SQLSTATE codes of PostgreSQL's protocol that are used here. */
+/** The lengths, message types, error fields and SQLSTATE codes of PostgreSQL's protocol that are used here. */
 final class PgProtocol {
     static final int VERSION_3 = 3 << 16;
     static final int VERSION_MAJOR_SHIFT = 16;
 
-    /** The length of a message counts these bytes of its own, not the type before it. */
+    /** The size of a message's length field; the length includes these bytes, but not the type byte before them. */
     static final int LENGTH_BYTES = 4;
 
     static final int HEADER_BYTES = 5;
@@ -24,10 +24,10 @@
     static final char READY_FOR_QUERY = 'Z';
     static final char ROW_DESCRIPTION = 'T';
 
-    /** The one byte that answers a request for encryption: not supported. */
+    /** The single-byte response to an encryption request: not supported. */
     static final char ENCRYPTION_REJECTED = 'N';
 
-    /** ReadyForQuery's status outside a transaction. */
+    /** The status in ReadyForQuery outside a transaction. */
     static final char IDLE = 'I';
 
     static final char FIELD_SEVERITY = 'S';
--- a/src/main/java/crankwick/pg/PgWriter.java
+++ b/src/main/java/crankwick/pg/PgWriter.java
@@ -4,10 +4,10 @@
 import java.nio.charset.Charset;
 import java.nio.charset.StandardCharsets;
 
-/** Builds messages of version 3: a type, a length, the fields. */
+/** Builds messages of protocol version 3: a type, a length and the fields. */
 final class PgWriter {
     private static final int BYTEA_TYPE_OID = 17;
-    /** Each byte a character: statements and values pass through unchanged, whatever their encoding. */
+    /** Maps each byte to one character, so that statements and values in any encoding pass through unchanged. */
     static final Charset CHARSET = StandardCharsets.ISO_8859_1;
 
     private static final int INITIAL_BYTES = 128;
@@ -42,7 +42,7 @@
         return bytes(value.getBytes(CHARSET)).int8(0);
     }
 
-    /** A row of one binary column, described and given; null is SQL's NULL. */
+    /** Appends the RowDescription and the DataRow of one binary column; null stands for SQL NULL. */
     PgWriter row(byte[] value) {
         int16(1).text("val")
                 .int32(0)
@@ -51,24 +51,24 @@
                 .int16(-1)
                 .int32(-1)
                 .int16(1);
-        end(PgProtocol.ROW_DESCRIPTION);
+        endMessage(PgProtocol.ROW_DESCRIPTION);
         int16(1);
         if (value == null) {
             int32(NULL_LENGTH);
         } else {
             int32(value.length).bytes(value);
         }
-        return end(PgProtocol.DATA_ROW);
+        return endMessage(PgProtocol.DATA_ROW);
     }
 
-    /** Ends a message that has a type. */
-    PgWriter end(char type) {
+    /** Ends a message and writes its type, its length and its fields. */
+    PgWriter endMessage(char type) {
         out.write(type);
-        return end();
+        return endMessage();
     }
 
-    /** Ends a message that has none, as at the start. */
-    PgWriter end() {
+    /** Ends a message without a type, which is a startup message, and writes its length and its fields. */
+    PgWriter endMessage() {
         int length = body.size() + PgProtocol.LENGTH_BYTES;
         out.write(length >> SHORT_BITS + BYTE_BITS);
         out.write(length >> SHORT_BITS);
--- a/src/main/java/crankwick/pg/package-info.java
+++ b/src/main/java/crankwick/pg/package-info.java
@@ -1,4 +1,5 @@
 /**
- * PostgreSQL's protocol, version 3: bytes to typed messages and back, on the clients' and the databases' side.
+ * PostgreSQL's protocol, version 3: codecs between bytes and typed messages for client, database and emulator
+ * connections.
  */
 package crankwick.pg;
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -12,10 +12,13 @@
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
-/** The database's side of TDS: roles, positions and reports come as INFO facts. */
+/**
+ * Codec for database connections in TDS. Roles, replication positions and load reports arrive as {@code name=value}
+ * in INFO tokens.
+ */
 public final class TdsDatabaseCodec extends CodecFilter {
     private static final String USER = "crankwick";
-    /** LOGIN7's fixed part; pairs of offset and length stand in it up to 72, the second is the user's. */
+    /** The length of LOGIN7's fixed part. Its pairs of offset and length end at byte 72; the second is the user's. */
     private static final int LOGIN_FIXED_BYTES = 94;
 
     private static final int LOGIN_PAIRS = 9;
@@ -27,7 +30,7 @@
     private static final int TRANSACTION_HEADER_BYTES = 18;
     private static final int TRANSACTION_HEADER = 2;
     private static final int RETURN_STATUS = 0x79;
-    /** Special values of the length of a value in chunks. */
+    /** Special lengths of a chunked value. */
     private static final long NULL_LENGTH = -1;
 
     private static final long UNKNOWN_LENGTH = -2;
@@ -39,19 +42,19 @@
 
     /** How much of a response has been received. */
     private enum Stage {
-        NOTHING,
-        DESCRIBED,
-        ROW,
-        DONE
+        NOT_STARTED,
+        ROW_DESCRIBED,
+        ROW_RECEIVED,
+        COMPLETE
     }
 
     private static final class DatabaseDecoder extends TdsDecoder {
-        private boolean preloggedIn;
-        private boolean greeted;
+        private boolean preloginComplete;
+        private boolean handshakeComplete;
         private boolean healthCheck;
-        private Stage stage = Stage.NOTHING;
-        private boolean rowSeen;
-        private boolean loginAck;
+        private Stage stage = Stage.NOT_STARTED;
+        private boolean rowReceived;
+        private boolean loginAcknowledged;
         private int error;
         private boolean fatal;
         private int maxLength;
@@ -67,76 +70,79 @@
         }
 
         @Override
-        protected void take(int type, ByteBuffer body, FilterChainContext context) {
-            require(type == Tds.TABULAR_RESULT, "not a response");
-            if (!preloggedIn) {
-                preloggedIn = true;
+        protected void onMessage(int type, ByteBuffer body, FilterChainContext context) {
+            require(type == TdsProtocol.TABULAR_RESULT, "message type is not a tabular result");
+            if (!preloginComplete) {
+                preloginComplete = true;
                 respond(context, login());
                 return;
             }
             while (body.hasRemaining()) {
-                require(stage != Stage.DONE, "a token behind the last one");
-                token(body.get() & Tds.BYTE_MASK, body);
+                require(stage != Stage.COMPLETE, "token after the final DONE");
+                onToken(body.get() & TdsProtocol.BYTE_MASK, body);
             }
-            require(stage == Stage.DONE, "an answer without its end");
-            if (!greeted && loginAck && error == 0) {
-                greeted = true;
+            require(stage == Stage.COMPLETE, "response without a final DONE");
+            if (!handshakeComplete && loginAcknowledged && error == 0) {
+                handshakeComplete = true;
                 clear();
                 emitLast(new DatabaseMessage.ConnectionReady());
                 return;
             }
-            require(error != 0 || rowSeen != healthCheck, "an answer without its row");
-            AttemptResult result = error == 0 ? AttemptResult.OK : result(error);
-            var answer = new DatabaseMessage.Response(result, role, position, report, value, fatal || !greeted);
+            require(
+                    error != 0 || rowReceived != healthCheck,
+                    "statement response without a row, or health check response with one");
+            AttemptResult result = error == 0 ? AttemptResult.OK : resultOf(error);
+            var response =
+                    new DatabaseMessage.Response(result, role, position, report, value, fatal || !handshakeComplete);
             clear();
-            emitLast(answer);
+            emitLast(response);
         }
 
-        private void token(int type, ByteBuffer body) {
+        private void onToken(int type, ByteBuffer body) {
             switch (type) {
-                case Tds.COLMETADATA -> {
-                    require(greeted && stage == Stage.NOTHING && error == 0, "columns out of place");
-                    stage = Stage.DESCRIBED;
-                    columns(body);
+                case TdsProtocol.COLMETADATA -> {
+                    require(handshakeComplete && stage == Stage.NOT_STARTED && error == 0, "unexpected COLMETADATA");
+                    stage = Stage.ROW_DESCRIBED;
+                    readColumns(body);
                 }
-                case Tds.ROW -> {
-                    require(stage == Stage.DESCRIBED, "a row out of place");
-                    stage = Stage.ROW;
-                    rowSeen = true;
-                    value = row(body);
+                case TdsProtocol.ROW -> {
+                    require(stage == Stage.ROW_DESCRIBED, "ROW without COLMETADATA, or more than one ROW");
+                    stage = Stage.ROW_RECEIVED;
+                    rowReceived = true;
+                    value = readRow(body);
                 }
-                case Tds.DONE, DONE_PROC, DONE_IN_PROC -> {
-                    boolean more = (body.getShort() & Tds.DONE_MORE) != 0;
+                case TdsProtocol.DONE, DONE_PROC, DONE_IN_PROC -> {
+                    boolean more = (body.getShort() & TdsProtocol.DONE_MORE) != 0;
                     body.position(body.position() + DONE_BODY_BYTES - 2);
-                    stage = more ? stage : Stage.DONE;
+                    stage = more ? stage : Stage.COMPLETE;
                 }
                 case RETURN_STATUS -> body.getInt();
-                case Tds.ERROR, Tds.INFO, Tds.LOGINACK, Tds.ENVCHANGE -> {
-                    int length = body.getShort() & Tds.SHORT_MASK;
+                case TdsProtocol.ERROR, TdsProtocol.INFO, TdsProtocol.LOGINACK, TdsProtocol.ENVCHANGE -> {
+                    int length = body.getShort() & TdsProtocol.SHORT_MASK;
                     ByteBuffer token = body.slice(body.position(), length).order(body.order());
                     body.position(body.position() + length);
-                    loginAck |= type == Tds.LOGINACK;
-                    if (type == Tds.ERROR || type == Tds.INFO) {
-                        message(type, token);
+                    loginAcknowledged |= type == TdsProtocol.LOGINACK;
+                    if (type == TdsProtocol.ERROR || type == TdsProtocol.INFO) {
+                        onErrorOrInfo(type, token);
                     }
                 }
-                default -> throw new IllegalArgumentException("unknown token " + type);
+                default -> throw new IllegalArgumentException("unknown token type " + type);
             }
         }
 
-        private void message(int type, ByteBuffer token) {
+        private void onErrorOrInfo(int type, ByteBuffer token) {
             int number = token.getInt();
             token.get();
             int severity = token.get();
-            String text = text(token, token.getShort() & Tds.SHORT_MASK);
-            if (type == Tds.ERROR) {
-                require(number != 0, "an error without a number");
+            String text = text(token, token.getShort() & TdsProtocol.SHORT_MASK);
+            if (type == TdsProtocol.ERROR) {
+                require(number != 0, "ERROR with number 0");
                 error = error == 0 ? number : error;
-                fatal |= severity >= Tds.FATAL_SEVERITY;
-            } else if (number == Tds.FACT_INFO) {
-                int equals = text.indexOf('=');
-                String content = text.substring(equals + 1);
-                switch (text.substring(0, Math.max(0, equals))) {
+                fatal |= severity >= TdsProtocol.FATAL_SEVERITY;
+            } else if (number == TdsProtocol.NAME_VALUE_INFO) {
+                int separator = text.indexOf('=');
+                String content = text.substring(separator + 1);
+                switch (text.substring(0, Math.max(0, separator))) {
                     case "mode" -> role = LoadReportCodec.parseRole(content);
                     case "wal_time" -> position = LoadReportCodec.parsePosition(content);
                     case "stats" -> report = LoadReportCodec.parse(content);
@@ -145,35 +151,37 @@
             }
         }
 
-        private void columns(ByteBuffer body) {
-            require(body.getShort() == 1, "not one column");
+        private void readColumns(ByteBuffer body) {
+            require(body.getShort() == 1, "COLMETADATA without exactly one column");
             body.getInt();
             body.getShort();
-            require((body.get() & Tds.BYTE_MASK) == Tds.VARBINARY, "not a varbinary");
-            maxLength = body.getShort() & Tds.SHORT_MASK;
-            text(body, body.get() & Tds.BYTE_MASK);
+            require((body.get() & TdsProtocol.BYTE_MASK) == TdsProtocol.VARBINARY, "column type is not varbinary");
+            maxLength = body.getShort() & TdsProtocol.SHORT_MASK;
+            text(body, body.get() & TdsProtocol.BYTE_MASK);
         }
 
-        private byte[] row(ByteBuffer body) {
-            if (maxLength != Tds.VARBINARY_MAX) {
-                int length = body.getShort() & Tds.SHORT_MASK;
-                return length == Tds.VARBINARY_MAX ? null : bytes(body, length);
+        private byte[] readRow(ByteBuffer body) {
+            if (maxLength != TdsProtocol.VARBINARY_MAX) {
+                int length = body.getShort() & TdsProtocol.SHORT_MASK;
+                return length == TdsProtocol.VARBINARY_MAX ? null : bytes(body, length);
             }
             long length = body.getLong();
             if (length == NULL_LENGTH) {
                 return null;
             }
-            ByteArrayOutputStream complete = new ByteArrayOutputStream();
+            ByteArrayOutputStream chunks = new ByteArrayOutputStream();
             for (int chunk = body.getInt(); chunk != 0; chunk = body.getInt()) {
-                complete.writeBytes(bytes(body, chunk));
+                chunks.writeBytes(bytes(body, chunk));
             }
-            require(length == complete.size() || length == UNKNOWN_LENGTH, "a value that does not fit its row");
-            return complete.toByteArray();
+            require(
+                    length == chunks.size() || length == UNKNOWN_LENGTH,
+                    "total length of the chunks does not match the length of the value");
+            return chunks.toByteArray();
         }
 
         private void clear() {
-            stage = Stage.NOTHING;
-            rowSeen = false;
+            stage = Stage.NOT_STARTED;
+            rowReceived = false;
             error = 0;
             fatal = false;
             value = null;
@@ -187,28 +195,29 @@
             return new DatabaseMessage.ProtocolError(fault);
         }
 
-        private static void require(boolean holds, String fault) {
-            if (!holds) {
+        private static void require(boolean condition, String fault) {
+            if (!condition) {
                 throw new IllegalArgumentException(fault);
             }
         }
 
-        private static AttemptResult result(int number) {
+        private static AttemptResult resultOf(int number) {
             return switch (number) {
-                case Tds.DATABASE_READ_ONLY, Tds.REPLICA_BEHIND -> AttemptResult.INELIGIBLE_REPLICA;
-                case Tds.RESOURCE_LIMIT_REACHED, Tds.TOO_MANY_CONNECTIONS -> AttemptResult.REJECTED_OVERLOADED;
+                case TdsProtocol.DATABASE_READ_ONLY, TdsProtocol.REPLICA_BEHIND -> AttemptResult.INELIGIBLE_REPLICA;
+                case TdsProtocol.RESOURCE_LIMIT_REACHED, TdsProtocol.TOO_MANY_CONNECTIONS -> AttemptResult
+                        .REJECTED_OVERLOADED;
                 default -> AttemptResult.ERROR;
             };
         }
     }
 
-    /** LOGIN7 with a user and no more. */
+    /** Encodes a LOGIN7 message with only a user name. */
     private static byte[] login() {
         int end = LOGIN_FIXED_BYTES + 2 * USER.length();
         TdsWriter out = new TdsWriter()
                 .int32(end)
-                .int32(Tds.VERSION)
-                .int32(Tds.PACKET_BYTES)
+                .int32(TdsProtocol.VERSION)
+                .int32(TdsProtocol.PACKET_BYTES)
                 .int32(0)
                 .int32(0)
                 .int32(0)
@@ -220,16 +229,16 @@
         }
         return out.bytes(new byte[LOGIN_FIXED_BYTES - LOGIN_PAIRS_END])
                 .text(USER)
-                .packets(Tds.LOGIN7);
+                .toPackets(TdsProtocol.LOGIN7);
     }
 
     @Override
     public byte[] encode(Object value) {
         if (value instanceof DatabaseCommand.Handshake) {
-            return new TdsWriter().bytes(Tds.PRELOGIN_BODY).packets(Tds.PRELOGIN);
+            return new TdsWriter().bytes(TdsProtocol.PRELOGIN_BODY).toPackets(TdsProtocol.PRELOGIN);
         }
-        String text = value instanceof DatabaseCommand.Execute run ? run.text() : Tds.REPORT_QUERY;
-        // ALL_HEADERS with the transaction descriptor that every batch must have: no transaction.
+        String text = value instanceof DatabaseCommand.Execute execute ? execute.text() : TdsProtocol.REPORT_QUERY;
+        // ALL_HEADERS with the transaction descriptor, which every batch must have; 0 stands for no transaction.
         return new TdsWriter()
                 .int32(ALL_HEADERS_BYTES)
                 .int32(TRANSACTION_HEADER_BYTES)
@@ -237,6 +246,6 @@
                 .int64(0)
                 .int32(1)
                 .text(text)
-                .packets(Tds.SQL_BATCH);
+                .toPackets(TdsProtocol.SQL_BATCH);
     }
 }
--- a/src/main/java/crankwick/tds/TdsDecoder.java
+++ b/src/main/java/crankwick/tds/TdsDecoder.java
@@ -7,39 +7,41 @@
 import java.nio.charset.StandardCharsets;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
-/** Puts packets together to messages, for both sides. */
+/** Assembles packets into messages, on client and database connections. */
 abstract class TdsDecoder extends CodecFilter.Decoder {
     private static final int MAX_MESSAGE_BYTES = 256 * 1024;
     private static final int MAX_PACKET_BYTES = 32 * 1024;
 
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-    /** Takes one whole message; what is truncated in it may throw. */
-    protected abstract void take(int type, ByteBuffer message, FilterChainContext context);
+    /** Handles a complete message. Throws if a field is truncated, which makes it a protocol error. */
+    protected abstract void onMessage(int type, ByteBuffer message, FilterChainContext context);
 
     @Override
     protected final boolean decode(ByteBuffer in, FilterChainContext context) {
-        if (in.remaining() < Tds.HEADER_BYTES) {
+        if (in.remaining() < TdsProtocol.HEADER_BYTES) {
             return false;
         }
-        int type = in.get() & Tds.BYTE_MASK;
+        int type = in.get() & TdsProtocol.BYTE_MASK;
         int status = in.get();
-        int length = in.getShort() & Tds.SHORT_MASK;
+        int length = in.getShort() & TdsProtocol.SHORT_MASK;
         in.getInt();
-        if (length < Tds.HEADER_BYTES || length > MAX_PACKET_BYTES || body.size() + length > MAX_MESSAGE_BYTES) {
+        if (length < TdsProtocol.HEADER_BYTES
+                || length > MAX_PACKET_BYTES
+                || body.size() + length > MAX_MESSAGE_BYTES) {
             throw new IllegalArgumentException("unusable length of a packet");
         }
-        if (in.remaining() < length - Tds.HEADER_BYTES) {
+        if (in.remaining() < length - TdsProtocol.HEADER_BYTES) {
             return false;
         }
-        byte[] part = new byte[length - Tds.HEADER_BYTES];
-        in.get(part);
-        body.writeBytes(part);
-        if ((status & Tds.END_OF_MESSAGE) != 0) {
+        byte[] payload = new byte[length - TdsProtocol.HEADER_BYTES];
+        in.get(payload);
+        body.writeBytes(payload);
+        if ((status & TdsProtocol.END_OF_MESSAGE) != 0) {
             ByteBuffer message = ByteBuffer.wrap(body.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
             body.reset();
-            if ((status & Tds.IGNORE) == 0) {
-                take(type, message, context);
+            if ((status & TdsProtocol.IGNORE) == 0) {
+                onMessage(type, message, context);
             }
         }
         return true;
--- a/src/main/java/crankwick/tds/TdsEmulatorCodec.java
+++ b/src/main/java/crankwick/tds/TdsEmulatorCodec.java
@@ -6,7 +6,7 @@
 import crankwick.transport.CodecFilter;
 import java.nio.charset.StandardCharsets;
 
-/** A database's side of TDS, for emulated ones: reads as the listener does. */
+/** Codec for emulated databases in TDS; decodes as {@link TdsClientCodec} does. */
 public final class TdsEmulatorCodec extends CodecFilter {
     private static final int QUERY_ERROR = 8650;
 
@@ -22,27 +22,29 @@
         if (value instanceof ClientReply) {
             return clientCodec.encode(value);
         }
-        EmulatedResponse reply = (EmulatedResponse) value;
+        EmulatedResponse response = (EmulatedResponse) value;
         TdsWriter out = new TdsWriter();
-        out.message(Tds.INFO, Tds.FACT_INFO, 0, "mode=" + reply.mode());
-        out.message(Tds.INFO, Tds.FACT_INFO, 0, "wal_time=" + reply.positionMillis());
-        out.message(Tds.INFO, Tds.FACT_INFO, 0, "stats=" + reply.loadReport());
-        if (reply.result() == AttemptResult.OK && !reply.healthCheck()) {
-            byte[] row = reply.value().getBytes(StandardCharsets.ISO_8859_1);
+        out.message(TdsProtocol.INFO, TdsProtocol.NAME_VALUE_INFO, 0, "mode=" + response.mode());
+        out.message(TdsProtocol.INFO, TdsProtocol.NAME_VALUE_INFO, 0, "wal_time=" + response.positionMillis());
+        out.message(TdsProtocol.INFO, TdsProtocol.NAME_VALUE_INFO, 0, "stats=" + response.loadReport());
+        if (response.result() == AttemptResult.OK && !response.healthCheck()) {
+            byte[] row = response.value().getBytes(StandardCharsets.ISO_8859_1);
             out.row(row);
-            out.done(Tds.DONE_COUNT, 1);
-        } else if (reply.result() == AttemptResult.OK) {
+            out.done(TdsProtocol.DONE_COUNT, 1);
+        } else if (response.result() == AttemptResult.OK) {
             out.done(0, 0);
         } else {
             int number =
-                    switch (reply.result()) {
-                        case INELIGIBLE_REPLICA -> reply.write() ? Tds.DATABASE_READ_ONLY : Tds.REPLICA_BEHIND;
-                        case REJECTED_OVERLOADED -> Tds.RESOURCE_LIMIT_REACHED;
+                    switch (response.result()) {
+                        case INELIGIBLE_REPLICA -> response.write()
+                                ? TdsProtocol.DATABASE_READ_ONLY
+                                : TdsProtocol.REPLICA_BEHIND;
+                        case REJECTED_OVERLOADED -> TdsProtocol.RESOURCE_LIMIT_REACHED;
                         default -> QUERY_ERROR;
                     };
-            out.message(Tds.ERROR, number, Tds.ERROR_SEVERITY, "emulated " + reply.result())
-                    .done(Tds.DONE_ERROR, 0);
+            out.message(TdsProtocol.ERROR, number, TdsProtocol.ERROR_SEVERITY, "emulated " + response.result())
+                    .done(TdsProtocol.DONE_ERROR, 0);
         }
-        return out.packets(Tds.TABULAR_RESULT);
+        return out.toPackets(TdsProtocol.TABULAR_RESULT);
     }
 }
--- a/src/main/java/crankwick/tds/TdsWriter.java
+++ b/src/main/java/crankwick/tds/TdsWriter.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Builds a TDS message: little-endian fields and tokens, then packets with their headers. */
+/** Builds a TDS message from little-endian fields and tokens, and splits it into packets with headers. */
 final class TdsWriter {
     private static final int CHUNKS_END = 0;
     private static final int NULL_LENGTH = -1;
@@ -36,23 +36,23 @@
         return this;
     }
 
-    /** Text in UTF-16, without its length. */
+    /** Appends text in UTF-16 without its length. */
     TdsWriter text(String value) {
         return bytes(value.getBytes(StandardCharsets.UTF_16LE));
     }
 
-    /** Text with its length in a byte. */
+    /** Appends text in UTF-16 after its length in characters, one byte. */
     TdsWriter shortText(String value) {
         return int8(value.length()).text(value);
     }
 
-    /** A token whose body has its length before it. */
+    /** Appends a token: its type, the length of its body, two bytes, and the body. */
     TdsWriter token(int type, TdsWriter body) {
         byte[] bytes = body.out.toByteArray();
         return int8(type).int16(bytes.length).bytes(bytes);
     }
 
-    /** ERROR or INFO. */
+    /** Appends an ERROR or INFO token. */
     TdsWriter message(int token, int number, int severity, String text) {
         return token(
                 token,
@@ -67,10 +67,18 @@
                         .int32(1));
     }
 
-    /** COLMETADATA and ROW of one varbinary(max): its length (-1 for NULL), at most one chunk, the end. */
+    /**
+     * Appends the COLMETADATA and ROW tokens of one varbinary(max) column. The value is written as its length (-1 for
+     * NULL), at most one chunk and the end of the chunks.
+     */
     TdsWriter row(byte[] value) {
-        int8(Tds.COLMETADATA).int16(1).int32(0).int16(1).int8(Tds.VARBINARY).int16(Tds.VARBINARY_MAX);
-        shortText("val").int8(Tds.ROW).int64(value == null ? NULL_LENGTH : value.length);
+        int8(TdsProtocol.COLMETADATA)
+                .int16(1)
+                .int32(0)
+                .int16(1)
+                .int8(TdsProtocol.VARBINARY)
+                .int16(TdsProtocol.VARBINARY_MAX);
+        shortText("val").int8(TdsProtocol.ROW).int64(value == null ? NULL_LENGTH : value.length);
         if (value == null) {
             return this;
         }
@@ -80,22 +88,22 @@
         return int32(CHUNKS_END);
     }
 
-    /** DONE. */
+    /** Appends a DONE token. */
     TdsWriter done(int status, long rows) {
-        return int8(Tds.DONE).int16(status).int16(0).int64(rows);
+        return int8(TdsProtocol.DONE).int16(status).int16(0).int64(rows);
     }
 
-    /** The message in packets of the type. */
-    byte[] packets(int type) {
+    /** The message, split into packets of the given type. */
+    byte[] toPackets(int type) {
         byte[] body = out.toByteArray();
         ByteArrayOutputStream packets = new ByteArrayOutputStream(body.length + INITIAL_HEADERS_BYTES);
         int from = 0;
         int number = 1;
         do {
-            int length = Math.min(body.length - from, Tds.PACKET_BYTES - Tds.HEADER_BYTES);
-            int total = length + Tds.HEADER_BYTES;
+            int length = Math.min(body.length - from, TdsProtocol.PACKET_BYTES - TdsProtocol.HEADER_BYTES);
+            int total = length + TdsProtocol.HEADER_BYTES;
             packets.write(type);
-            packets.write(from + length == body.length ? Tds.END_OF_MESSAGE : 0);
+            packets.write(from + length == body.length ? TdsProtocol.END_OF_MESSAGE : 0);
             packets.write(total >> BYTE_BITS);
             packets.write(total);
             packets.write(0);
--- a/src/main/java/crankwick/tds/package-info.java
+++ b/src/main/java/crankwick/tds/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The TDS protocol: bytes to typed messages and back, on the clients' and the databases' side.
+ * The TDS protocol, version 7.4: codecs between bytes and typed messages for client, database and emulator
+ * connections.
  */
 package crankwick.tds;
