--- a/src/test/java/crankwick/app/ClientDisconnectIT.java
+++ b/src/test/java/crankwick/app/ClientDisconnectIT.java
@@ -10,43 +10,43 @@
 import org.testng.annotations.Test;
 
 /**
- * Clients that leave in the middle of a request, whatever they have sent before or behind it: no attempt begins
- * once they have gone. The program runs as a process; databases break the connection under each attempt, so that
- * it would be sent again.
+ * Clients that disconnect or cancel during a request, with different commands pipelined behind it: no attempt starts
+ * afterwards. The program runs as a process. The databases close the connection during each attempt, so that the proxy
+ * would otherwise retry it.
  */
 public class ClientDisconnectIT extends BothWiresFixture {
-    private static final int LARGE = 80_000;
-    private static final int MEDIUM = 40_000;
-    private static final int MANY = 1_100;
-    private static final int ATTEMPT_MS = 300;
-    private static final int LEAVES_AFTER_MS = 100;
-    private static final long ATTEMPT_ARRIVES_WITHIN_MS = 2_000;
-    private static final int WATCHED_MS = 800;
+    private static final int LARGE_PADDING_CHARS = 80_000;
+    private static final int MEDIUM_PADDING_CHARS = 40_000;
+    private static final int MANY_COMMANDS = 1_100;
+    private static final int ATTEMPT_DURATION_MS = 300;
+    private static final int DISCONNECT_DELAY_MS = 100;
+    private static final long ATTEMPT_ARRIVAL_TIMEOUT_MS = 2_000;
+    private static final int OBSERVATION_MS = 800;
 
-    /** What a client has sent when it leaves: one keyed write first, then what this names. */
-    private enum Sent {
+    /** What a client has sent before it disconnects: first one keyed write, then the commands named here. */
+    private enum SentCommands {
         SMALL_WRITE,
         LARGE_WRITE,
         MANY_COMMANDS_BEHIND,
         MEDIUM_COMMANDS_BEHIND
     }
 
-    /** How a client leaves. */
-    private enum Way {
+    /** How a client ends its request. */
+    private enum DisconnectMode {
         CLOSE,
         RESET,
         CANCEL
     }
 
-    /** Both wires, each with all that can be sent and all ways to leave; PostgreSQL's clients have no cancel. */
+    /** All combinations of protocol, sent commands and disconnect mode; the PostgreSQL protocol has no cancel here. */
     @DataProvider
-    public Object[][] leavers() {
+    public Object[][] disconnects() {
         List<Object[]> all = new ArrayList<>();
         for (Object[] wire : wires()) {
-            for (Sent sent : Sent.values()) {
-                for (Way way : Way.values()) {
-                    if (way != Way.CANCEL || wire[0] instanceof TdsTestClient) {
-                        all.add(new Object[] {wire[0], sent, way});
+            for (SentCommands sent : SentCommands.values()) {
+                for (DisconnectMode mode : DisconnectMode.values()) {
+                    if (mode != DisconnectMode.CANCEL || wire[0] instanceof TdsTestClient) {
+                        all.add(new Object[] {wire[0], sent, mode});
                     }
                 }
             }
@@ -54,50 +54,52 @@
         return all.toArray(Object[][]::new);
     }
 
-    /** A deployment for each, as failures count against a database and would keep others from being sent again. */
-    @Test(dataProvider = "leavers")
-    public void nothingIsSentAgainForAClientThatHasGone(TestWireClient wire, Sent sent, Way way) throws Exception {
+    /** Each case has its own deployment: earlier failures count against the databases and would suppress retries. */
+    @Test(dataProvider = "disconnects")
+    public void requestIsNotRetriedAfterTheClientDisconnects(
+            TestWireClient wire, SentCommands sent, DisconnectMode mode) throws Exception {
         try (Deployment d = new Deployment(wire);
-                Deployment.Client leaver = d.client()) {
-            d.databases.forEach(database -> database.delayMs = ATTEMPT_MS);
+                Deployment.Client client = d.client()) {
+            d.databases.forEach(database -> database.delayMs = ATTEMPT_DURATION_MS);
             d.databases.forEach(database -> database.replyKind = "DISCONNECT");
-            String write = send(leaver, sent);
-            Thread.sleep(LEAVES_AFTER_MS);
+            String write = send(client, sent);
+            Thread.sleep(DISCONNECT_DELAY_MS);
             awaitAttempt(d, write);
-            leave(wire, leaver, way);
-            Thread.sleep(WATCHED_MS);
+            disconnect(wire, client, mode);
+            Thread.sleep(OBSERVATION_MS);
             assertEquals(d.attemptLog.countAttempts(write), 1, d.log.toString());
             assertNoViolations(d);
         }
     }
 
-    /** On a busy machine the attempt may take longer to arrive; a client that left before would have none. */
+    /** Waits for the first attempt, late on a busy machine: no attempt is sent if the client disconnects earlier. */
     private static void awaitAttempt(Deployment d, String write) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ATTEMPT_ARRIVES_WITHIN_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ATTEMPT_ARRIVAL_TIMEOUT_MS);
         while (d.attemptLog.countAttempts(write) == 0 && System.nanoTime() < deadline) {
             Thread.sleep(1);
         }
     }
 
-    /** Sends the write and what goes with it; the write's id. */
-    private String send(Deployment.Client client, Sent sent) throws IOException {
-        String padding = sent == Sent.LARGE_WRITE ? "x".repeat(LARGE) : "";
+    /** Sends the write and the commands behind it; returns the write's id. */
+    private String send(Deployment.Client client, SentCommands sent) throws IOException {
+        String padding = sent == SentCommands.LARGE_WRITE ? "x".repeat(LARGE_PADDING_CHARS) : "";
         client.send(statement("reserve", 3_000, "") + padding);
         String write = lastId();
-        if (sent == Sent.MANY_COMMANDS_BEHIND) {
-            for (int i = 0; i < MANY; i++) {
+        if (sent == SentCommands.MANY_COMMANDS_BEHIND) {
+            for (int i = 0; i < MANY_COMMANDS; i++) {
                 client.send("SELECT 1");
             }
-        } else if (sent == Sent.MEDIUM_COMMANDS_BEHIND) {
+        } else if (sent == SentCommands.MEDIUM_COMMANDS_BEHIND) {
             for (int i = 0; i < 3; i++) {
-                client.send(statement("map-view", 3_000, "") + "x".repeat(MEDIUM));
+                client.send(statement("map-view", 3_000, "") + "x".repeat(MEDIUM_PADDING_CHARS));
             }
         }
         return write;
     }
 
-    private static void leave(TestWireClient wire, Deployment.Client client, Way way) throws IOException {
-        switch (way) {
+    private static void disconnect(TestWireClient wire, Deployment.Client client, DisconnectMode mode)
+            throws IOException {
+        switch (mode) {
             case CANCEL -> ((TdsTestClient) wire).sendAttention(client.socket);
             case RESET -> {
                 client.socket.setSoLinger(true, 0);
@@ -108,15 +110,15 @@
     }
 
     /**
-     * Guards against taking for a stalled client one that is not read from: behind a large command comes half of
-     * another one, and its other half while the first is still out.
+     * Guards against treating a client as stalled while the proxy does not read from it: half of a command follows a
+     * large command, and its other half arrives while the large command is still open.
      */
     @Test(dataProvider = "wires")
-    public void halfACommandBehindALargeOneIsNoStall(TestWireClient wire) throws Exception {
+    public void partialCommandBehindALargeOneIsNotStalled(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 2_800;
-            client.send(statement("reserve", 5_000, "") + "x".repeat(LARGE));
+            client.send(statement("reserve", 5_000, "") + "x".repeat(LARGE_PADDING_CHARS));
             String first = lastId();
             byte[] second = wire.encodeCommand(statement("map-view", 5_000, ""), 0);
             client.socket.getOutputStream().write(second, 0, second.length - 7);
--- a/src/test/java/crankwick/app/ClientListenerIT.java
+++ b/src/test/java/crankwick/app/ClientListenerIT.java
@@ -13,15 +13,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What only one of the fronts has. */
+/** Behavior that is specific to the client listener of one protocol, and validation of the operator's file. */
 public class ClientListenerIT {
     private static String statement(String id, String className) {
         return "/* id=" + id + ",c=" + className + ",d=2000,k=1,cluster=0 */ SELECT val FROM state";
     }
 
-    /** Guards against answers that overtake each other: the write is slow, the read behind it is not. */
+    /** Guards against replies out of order: the write is slow, the read pipelined behind it is fast. */
     @Test
-    public void pgAnswersKeepTheCommandsOrder() throws Exception {
+    public void pgRepliesKeepTheOrderOfTheCommands() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 300;
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void pgTakesByteByByteWhatFollowsARefusedEncryption() throws Exception {
+    public void pgAcceptsInputByteByByteAfterRefusingEncryption() throws Exception {
         PgTestClient wire = new PgTestClient();
         try (Deployment d = new Deployment(wire);
                 Socket socket = d.connect()) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void tdsTeamsKeepToTheirContracts() throws Exception {
+    public void tdsTeamContractsAreEnforced() throws Exception {
         TdsTestClient wire = new TdsTestClient();
         try (Deployment d = new Deployment(wire);
                 Deployment.Client reports = d.new Client("reports");
@@ -73,7 +73,7 @@
             TestWireClient.Answer over = third.execute(statement("4", "map-view"));
             assertEquals(over.code(), "50103", over.toString());
             assertTrue(over.retryAfter() > 0, over.toString());
-            // Their deadline is capped at 400 ms, though they would wait longer.
+            // The team's deadline cap of 400 ms is shorter than the deadline of these requests.
             long start = System.nanoTime();
             assertTrue(reports.readAnswer().kind().matches("REFUSED|FAILED"));
             assertTrue(more.readAnswer().kind().matches("REFUSED|FAILED"));
@@ -89,9 +89,9 @@
         }
     }
 
-    /** Guards against the withdrawn request's answer coming after the attention's. */
+    /** Guards against the cancelled request's reply being sent after the acknowledgement of the attention. */
     @Test
-    public void tdsAttentionWithdrawsTheBatch() throws Exception {
+    public void tdsAttentionCancelsTheBatch() throws Exception {
         TdsTestClient wire = new TdsTestClient();
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
@@ -104,9 +104,9 @@
         }
     }
 
-    /** Mistakes in the operator's file and the key that the one line must name. */
+    /** Invalid edits of the operator's file, and the key that the one-line error must name. */
     @DataProvider
-    public Object[][] mistakes() {
+    public Object[][] invalidOperatorFiles() {
         return new Object[][] {
             {"listen = ", "listne = ", "listne"},
             {"sockets = 512", "sockets = 'x'", "sockets"},
@@ -122,15 +122,15 @@
         };
     }
 
-    @Test(dataProvider = "mistakes")
-    public void mistakeInTheOperatorsFileStopsTheStart(String right, String wrong, String key) throws Exception {
+    @Test(dataProvider = "invalidOperatorFiles")
+    public void invalidOperatorFileFailsStartup(String validText, String invalidText, String key) throws Exception {
         Path folder = Files.createTempDirectory("crankwick");
         Files.copy(
                 Path.of("deploy/stations.zone"), folder.resolve("stations.zone"), StandardCopyOption.REPLACE_EXISTING);
         String text = Files.readString(Path.of("deploy/tds.toml"));
-        assertTrue(text.contains(right));
-        Process process =
-                Deployment.start(null, Files.writeString(folder.resolve("tds.toml"), text.replace(right, wrong)));
+        assertTrue(text.contains(validText));
+        Process process = Deployment.start(
+                null, Files.writeString(folder.resolve("tds.toml"), text.replace(validText, invalidText)));
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(process.waitFor(), 2, output);
         assertEquals(output.lines().count(), 1, output);
--- a/src/test/java/crankwick/app/ClientsIT.java
+++ b/src/test/java/crankwick/app/ClientsIT.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Clients of all habits, and the end of the process, the same checks on both wires. */
+/** Invalid, slow, pipelining and disconnecting clients, and graceful shutdown, on both protocols. */
 public class ClientsIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
-    public void statementThatCantBeReadFailsAlone(TestWireClient wire) throws Exception {
+    public void invalidStatementFailsWithoutAffectingOthers(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             List<String> hints = List.of(
@@ -42,7 +42,7 @@
     }
 
     @Test(dataProvider = "wires")
-    public void nonsenseEndsOnlyItsOwnConnection(TestWireClient wire) throws Exception {
+    public void invalidInputClosesOnlyItsOwnConnection(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             for (byte[] bytes : wire.invalidInputs()) {
@@ -62,9 +62,9 @@
         }
     }
 
-    /** Guards against connections held by who says nothing, stops midway, or goes on beyond all bounds. */
+    /** Guards against silent clients, and clients that stop within a message, occupying connections without limit. */
     @Test(dataProvider = "wires")
-    public void whoDoesNotAskInTimeOrWithoutEndIsLetGo(TestWireClient wire) throws Exception {
+    public void clientsWithoutACompleteCommandInTimeAreDisconnected(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
@@ -95,9 +95,9 @@
         }
     }
 
-    /** Guards against a reset that destroys the error, and against memory for whatever is said to come. */
+    /** Guards against a reset that discards the error reply, and against allocating memory for an announced length. */
     @Test(dataProvider = "wires")
-    public void tooLargeACommandIsToldSoBehindWhatWasAskedBefore(TestWireClient wire) throws Exception {
+    public void oversizedCommandFailsAfterEarlierReplies(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.primary().delayMs = 300;
@@ -111,9 +111,9 @@
         }
     }
 
-    /** Guards against a client's commands being dropped because they are many. */
+    /** Guards against dropping commands of a client that pipelines hundreds of them. */
     @Test(dataProvider = "wires")
-    public void hundredsOfCommandsAtOnceAreAllAnsweredInTurn(TestWireClient wire) throws Exception {
+    public void hundredsOfPipelinedCommandsAreAllAnsweredInOrder(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             int last = Integer.parseInt(lastId());
@@ -132,9 +132,9 @@
         }
     }
 
-    /** Guards against two attempts in flight under one id, whoever sends it. */
+    /** Guards against two attempts in flight under one id, also if two clients send it. */
     @Test(dataProvider = "wires")
-    public void idOfAnOpenRequestServesNobodyElse(TestWireClient wire) throws Exception {
+    public void secondRequestWithAnOpenIdFails(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client();
                 Deployment.Client other = d.client()) {
@@ -153,18 +153,18 @@
         try {
             socket.getInputStream().readAllBytes();
         } catch (java.net.SocketException e) {
-            // Reset rather than closed: ended all the same.
+            // A reset also counts as closed by the proxy.
             assertTrue(e.getMessage().contains("reset"), e.toString());
         }
     }
 
     @Test(dataProvider = "wires")
-    public void clientThatLeavesTakesNothingWithIt(TestWireClient wire) throws Exception {
+    public void clientDisconnectDoesNotAffectOtherClients(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.delayMs = 400);
-            try (Deployment.Client leaver = d.client()) {
-                leaver.send(statement("reserve", 3000, ""));
+            try (Deployment.Client disconnectingClient = d.client()) {
+                disconnectingClient.send(statement("reserve", 3000, ""));
                 Thread.sleep(100);
             }
             assertEquals(client.execute(statement("reserve", 3000, "")).kind(), "SERVED");
@@ -172,14 +172,14 @@
         }
     }
 
-    /** Guards against work begun for a client that has gone, on a connection that came up after it had. */
+    /** Guards against starting an attempt on a connection that is established after the client has disconnected. */
     @Test(dataProvider = "wires")
-    public void nothingIsBegunForAClientThatHasGone(TestWireClient wire) throws Exception {
+    public void noAttemptStartsForADisconnectedClient(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0")) {
             d.databases.forEach(database -> database.greetingDelayMs = 1_000);
             for (String className : List.of("reserve", "map-view")) {
-                try (Deployment.Client leaver = d.client()) {
-                    leaver.send(statement(className, 3000, ""));
+                try (Deployment.Client disconnectingClient = d.client()) {
+                    disconnectingClient.send(statement(className, 3000, ""));
                     Thread.sleep(300);
                 }
             }
@@ -192,9 +192,9 @@
         }
     }
 
-    /** Guards against a request behind another after SIGTERM that wants more time than is left. */
+    /** A request pipelined after SIGTERM is answered before the exit, even if its deadline is later. */
     @Test(dataProvider = "wires")
-    public void requestBehindAnotherAfterSigtermIsAnsweredBeforeTheEnd(TestWireClient wire) throws Exception {
+    public void requestPipelinedAfterSigtermIsAnsweredBeforeExit(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.replyKind = "NO_REPLY");
@@ -212,9 +212,9 @@
         }
     }
 
-    /** Planned restarts must lose nothing: what is out is answered, and only then does the program end. */
+    /** Planned restarts must not lose requests: the process exits only after all open requests are answered. */
     @Test(dataProvider = "wires")
-    public void sigtermLosesNothingThatWasTaken(TestWireClient wire) throws Exception {
+    public void sigtermLosesNoAcceptedRequest(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client idle = d.client();
                 Deployment.Client late = d.client()) {
--- a/src/test/java/crankwick/app/CommandsIT.java
+++ b/src/test/java/crankwick/app/CommandsIT.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The built jar's command line. */
+/** Runs the built jar from the command line. */
 public class CommandsIT {
     private record Run(int status, List<String> out, List<String> err) {}
 
@@ -40,7 +40,7 @@
     }
 
     @DataProvider
-    public Object[][] misuse() {
+    public Object[][] invalidArguments() {
         return new Object[][] {
             {new String[] {}},
             {new String[] {"nonsense"}},
@@ -56,8 +56,8 @@
         };
     }
 
-    @Test(dataProvider = "misuse")
-    public void misuseEndsWithStatusTwoAndOneLine(String[] args) throws Exception {
+    @Test(dataProvider = "invalidArguments")
+    public void invalidArgumentsExitWithStatusTwoAndOneLine(String[] args) throws Exception {
         Run run = run(args);
         assertEquals(run.status(), 2, run.toString());
         assertEquals(run.err().size(), 1, run.toString());
@@ -70,17 +70,17 @@
     }
 
     @Test(dataProvider = "commands")
-    public void helpAndVersionForEach(String command) throws Exception {
+    public void eachCommandHasHelpAndVersion(String command) throws Exception {
         for (String option : List.of("--help", "--version")) {
             Run run = run((command + " " + option).strip().split(" "));
             assertEquals(run.status(), 0, run.toString());
-            String wanted = option.equals("--help") ? "Usage: " : "crankwick ";
-            assertTrue(run.out().get(0).startsWith(wanted), run.toString());
+            String expected = option.equals("--help") ? "Usage: " : "crankwick ";
+            assertTrue(run.out().get(0).startsWith(expected), run.toString());
         }
     }
 
     @Test
-    public void theLabsLastLineIsItsFigures() throws Exception {
+    public void lastLineOfTheLabHoldsTheFigures() throws Exception {
         Run run = run("lab", "handover", "--groups", "2", "--failovers", "10", "--seed", "5", "--json");
         assertEquals(run.status(), 0, run.toString());
         JsonObject figures =
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void aViolationIsTracedAndEndsWithStatusOne() throws Exception {
+    public void violationIsTracedAndExitsWithStatusOne() throws Exception {
         Run run = run("lab", "handover", "--failovers", "40", "--fault", "held-sent-twice", "--json");
         assertEquals(run.status(), 1, run.toString());
         assertTrue(run.out().get(0).startsWith("violation: a second attempt"), run.toString());
--- a/src/test/java/crankwick/app/ConnectionRaceTest.java
+++ b/src/test/java/crankwick/app/ConnectionRaceTest.java
@@ -8,29 +8,32 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Bytes that arrive in the very moment in which something ends, in an order that each test forces. */
+/**
+ * Races between incoming bytes and the end of a connection, a request or the proxy. Each test forces one order of
+ * events by pausing the event loop or by blocking the selector thread.
+ */
 public class ConnectionRaceTest {
-    private static final int WAIT_MS = 5_000;
+    private static final int DEADLINE_MS = 5_000;
     private static final long TEST_TIMEOUT_MS = 30_000;
 
-    /** After SIGTERM the connection is idle for the loop, while its command has just been read. */
+    /** Shutdown begins while the event loop still has the connection as idle, but a command has just been read. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadAsTheProxyClosesIsAnswered() throws Exception {
+    public void commandReadAsShutdownBeginsIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
-            proxy.loop.execute(
-                    () -> proxy.clientListener.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
-            client.sendWrite("1", WAIT_MS);
+            proxy.loop.execute(() ->
+                    proxy.clientListener.beginShutdown(proxy.clock.now() + DEADLINE_MS * PausableProxyFixture.MS));
+            client.sendWrite("1", DEADLINE_MS);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
             assertNull(client.readAnswer());
         }
     }
 
-    /** Guards against a request that wants more time than is left being still open at the end. */
+    /** Guards against a request whose deadline is after the shutdown deadline staying open when the proxy exits. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void whoWaitsLongerThanTheProxyHasIsAnsweredBeforeItsEnd() throws Exception {
+    public void requestWithDeadlineAfterShutdownIsAnsweredBeforeExit() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             proxy.database.replyKind = "NO_REPLY";
@@ -38,97 +41,102 @@
             while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
-            long latest = proxy.clock.now() + 500 * PausableProxyFixture.MS;
-            proxy.onLoop(() -> proxy.clientListener.beginShutdown(latest));
+            long shutdownDeadline = proxy.clock.now() + 500 * PausableProxyFixture.MS;
+            proxy.onLoop(() -> proxy.clientListener.beginShutdown(shutdownDeadline));
             assertEquals(client.readAnswer(), "Failed");
             assertNull(client.readAnswer());
-            long late = proxy.clock.now() - latest;
-            assertTrue(late >= 0 && late < 2_000 * PausableProxyFixture.MS, late + " us");
+            long overrun = proxy.clock.now() - shutdownDeadline;
+            assertTrue(
+                    overrun >= 0 && overrun < 2_000 * PausableProxyFixture.MS,
+                    overrun + " us past the shutdown deadline");
         }
     }
 
-    /** A connection has been idle for its whole time, and its command has just been read. */
+    /** The idle timeout of a connection expires when its command has just been read. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadAsItsIdleConnectionEndsIsAnswered() throws Exception {
+    public void commandReadAsIdleTimeoutExpiresIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(2);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
             Thread.sleep(2_500);
-            client.sendWrite("1", WAIT_MS);
+            client.sendWrite("1", DEADLINE_MS);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
             assertNull(other.readAnswer());
         }
     }
 
-    /** An idle connection is to make room for a new one, and its command has just been read. */
+    /** An idle connection is to be evicted in favor of a new one when its command has just been read. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadAsItsConnectionMakesRoomIsAnswered() throws Exception {
+    public void commandReadAsItsConnectionIsEvictedIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(1);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
             proxy.awaitSelectorThread();
-            client.sendWrite("1", WAIT_MS);
+            client.sendWrite("1", DEADLINE_MS);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
         }
     }
 
-    /** Half a command has been read when the proxy closes: its other half comes, and then its answer. */
+    /** Shutdown begins when half of a command has been read: the proxy reads the other half and answers. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadInHalfAsTheProxyClosesIsAnswered() throws Exception {
+    public void partialCommandReadAsShutdownBeginsIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
             client.sendPart("/* id=1,c=write,d=5000,k=k1,clus");
             proxy.awaitSelectorThread();
             pause.resume();
-            proxy.onLoop(
-                    () -> proxy.clientListener.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            proxy.onLoop(() ->
+                    proxy.clientListener.beginShutdown(proxy.clock.now() + DEADLINE_MS * PausableProxyFixture.MS));
             client.send("ter=0 */ INSERT");
             assertEquals(client.readAnswer(), "Served primary:1");
             assertNull(client.readAnswer());
         }
     }
 
-    /** The connection to the database is up; the client has closed, which the loop has not heard yet. */
+    /** The database connection becomes ready before the event loop has processed the client's close. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void nothingIsWrittenForAClientThatHasJustClosed() throws Exception {
+    public void commandIsNotSentAfterItsClientCloses() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            PausableProxyFixture.Client leaver = proxy.new Client();
-            PausableProxyFixture.LoopPause beforeGreeting = greetedWhileHeld(proxy, leaver);
+            PausableProxyFixture.Client closingClient = proxy.new Client();
+            PausableProxyFixture.LoopPause beforeGreeting = awaitGreetingWithLoopPaused(proxy, closingClient);
             PausableProxyFixture.LoopPause beforeClose = proxy.queueLoopPause();
-            leaver.close();
-            letGreetingPass(proxy, beforeGreeting, beforeClose);
-            other.sendWrite("2", WAIT_MS);
+            closingClient.close();
+            deliverGreetingBeforeDisconnect(proxy, beforeGreeting, beforeClose);
+            other.sendWrite("2", DEADLINE_MS);
             assertEquals(other.readAnswer(), "Served primary:2");
             assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** The same of a client that cancels its command and stays. */
+    /** The database connection becomes ready before the event loop has processed the client's cancel. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void nothingIsWrittenForACommandThatHasJustBeenCancelled() throws Exception {
+    public void commandIsNotSentAfterItIsCancelled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.LoopPause beforeGreeting = greetedWhileHeld(proxy, client);
+            PausableProxyFixture.LoopPause beforeGreeting = awaitGreetingWithLoopPaused(proxy, client);
             PausableProxyFixture.LoopPause beforeCancel = proxy.queueLoopPause();
             client.send(LineProtocolCodec.CANCEL);
-            letGreetingPass(proxy, beforeGreeting, beforeCancel);
+            deliverGreetingBeforeDisconnect(proxy, beforeGreeting, beforeCancel);
             assertEquals(client.readAnswer(), "CancelAcknowledged");
-            client.sendWrite("2", WAIT_MS);
+            client.sendWrite("2", DEADLINE_MS);
             assertEquals(client.readAnswer(), "Served primary:2");
             assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** A write of id 1 waits for its connection, whose greeting is behind the held loop when this returns. */
-    private static PausableProxyFixture.LoopPause greetedWhileHeld(
+    /**
+     * Sends a write with id 1, which waits for a database connection. Returns with the event loop paused and the
+     * greeting of that connection read by the selector thread.
+     */
+    private static PausableProxyFixture.LoopPause awaitGreetingWithLoopPaused(
             PausableProxyFixture proxy, PausableProxyFixture.Client client) throws Exception {
         proxy.database.greetingLatch = new CountDownLatch(1);
-        client.sendWrite("1", WAIT_MS);
+        client.sendWrite("1", DEADLINE_MS);
         while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
@@ -141,27 +149,30 @@
         return pause;
     }
 
-    /** The reader has seen the client go when the loop hears of the greeting; the loop hears of it after. */
-    private static void letGreetingPass(
+    /**
+     * Lets the event loop process the greeting when the selector thread has already read the client's close or cancel,
+     * which the event loop processes afterwards.
+     */
+    private static void deliverGreetingBeforeDisconnect(
             PausableProxyFixture proxy,
             PausableProxyFixture.LoopPause beforeGreeting,
-            PausableProxyFixture.LoopPause beforeEnd)
+            PausableProxyFixture.LoopPause beforeDisconnect)
             throws Exception {
         proxy.awaitSelectorThread();
         beforeGreeting.resume();
-        beforeEnd.await();
+        beforeDisconnect.await();
         proxy.awaitSelectorThread();
-        beforeEnd.resume();
+        beforeDisconnect.resume();
     }
 
-    /** A repeat's connection comes up after the window in which databases discard repeats. */
+    /** The connection for a retry becomes ready after the key window, when databases no longer deduplicate. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void repeatIsNotWrittenOnceItsKeysWindowIsOver() throws Exception {
+    public void retryIsNotSentAfterItsKeyWindowExpires() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             proxy.database.replyKind = "DISCONNECT";
             proxy.database.delayMs = 200;
-            client.sendWrite("1", WAIT_MS);
+            client.sendWrite("1", DEADLINE_MS);
             while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
@@ -178,56 +189,56 @@
         }
     }
 
-    /** The time that a database is told counts from when the command was read, however late the loop is. */
+    /** The deadline sent to a database counts from when the command was read, even if the event loop is delayed. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void lateLoopLeavesADatabaseLessTime() throws Exception {
+    public void eventLoopDelayReducesTheDeadlineSentToTheDatabase() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
-            client.sendWrite("1", WAIT_MS);
+            client.sendWrite("1", DEADLINE_MS);
             Thread.sleep(400);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
-            String told = proxy.attemptLog.attempts.get(0).statement().replaceAll(".*,d=(\\d+),.*", "$1");
-            assertTrue(Integer.parseInt(told) <= WAIT_MS - 400, told);
+            String sentDeadline = proxy.attemptLog.attempts.get(0).statement().replaceAll(".*,d=(\\d+),.*", "$1");
+            assertTrue(Integer.parseInt(sentDeadline) <= DEADLINE_MS - 400, sentDeadline);
         }
     }
 
     /**
-     * The client has closed while the thread that reads was held up, and its command is the next thing that this
-     * thread has to write: what has arrived is read first.
+     * The client closes while the selector thread is blocked and the write of its command is queued on that thread.
+     * The selector thread reads pending input first, and so detects the close before the write.
      */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void nothingIsWrittenForAClientThatClosedWhileTheReaderWasHeldUp() throws Exception {
+    public void commandIsNotSentIfItsClientClosesWhileSelectorIsBlocked() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            other.sendWrite("1", WAIT_MS);
+            other.sendWrite("1", DEADLINE_MS);
             assertEquals(other.readAnswer(), "Served primary:1");
             Thread.sleep(100);
-            PausableProxyFixture.Client leaver = proxy.new Client();
+            PausableProxyFixture.Client closingClient = proxy.new Client();
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
-            leaver.sendWrite("2", WAIT_MS);
+            closingClient.sendWrite("2", DEADLINE_MS);
             other.send(LineProtocolCodec.BLOCK_SELECTOR);
-            leaver.close();
+            closingClient.close();
             Thread.sleep(100);
             pause.resume();
             proxy.onLoop(() -> {});
             proxy.wire.selectorReleased.countDown();
-            other.sendWrite("3", WAIT_MS);
+            other.sendWrite("3", DEADLINE_MS);
             assertEquals(other.readAnswer(), "Served primary:3");
             assertEquals(proxy.attemptLog.countAttempts("2"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** An idle connection is to end; its command has arrived while the thread that reads was held up. */
+    /** Shutdown is to close an idle connection whose command arrived while the selector thread was blocked. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandThatArrivesWhileTheReaderIsHeldUpIsAnsweredAsTheProxyCloses() throws Exception {
+    public void commandArrivingWhileSelectorIsBlockedIsAnsweredDuringShutdown() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             other.send(LineProtocolCodec.BLOCK_SELECTOR);
-            proxy.onLoop(
-                    () -> proxy.clientListener.beginShutdown(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            proxy.onLoop(() ->
+                    proxy.clientListener.beginShutdown(proxy.clock.now() + DEADLINE_MS * PausableProxyFixture.MS));
             client.sendPart("/* id=1,c=write,d=5000,k=k1,cluster=0 */ INSERT\n");
             Thread.sleep(100);
             proxy.wire.selectorReleased.countDown();
@@ -236,9 +247,9 @@
         }
     }
 
-    /** A command's other half has arrived while the thread that reads was held up: the client does not stall. */
+    /** The second half of a command arrives while the selector thread is blocked: the client is not stalled. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandWhoseEndHasArrivedIsNoStall() throws Exception {
+    public void commandCompletedWhileSelectorIsBlockedIsNotStalled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
@@ -252,14 +263,17 @@
         }
     }
 
-    /** The same of a database's answer: its attempt is not given up, and not made again. */
+    /**
+     * The second half of a database's reply arrives while the selector thread is blocked: the attempt does not fail and
+     * is not retried.
+     */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void answerWhoseEndHasArrivedIsNoStall() throws Exception {
+    public void responseCompletedWhileSelectorIsBlockedIsNotStalled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             proxy.database.replyKind = "SPLIT";
-            client.sendWrite("1", WAIT_MS);
+            client.sendWrite("1", DEADLINE_MS);
             while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
@@ -278,15 +292,15 @@
         }
     }
 
-    /** A database's greeting has arrived in time, while the thread that reads was held up. */
+    /** A database's greeting arrives within the connect timeout while the selector thread is blocked. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void greetingThatHasArrivedIsInTime() throws Exception {
+    public void greetingReceivedWhileSelectorIsBlockedIsInTime() throws Exception {
         int timeoutMs = 500;
         try (PausableProxyFixture proxy = new PausableProxyFixture(10, timeoutMs * PausableProxyFixture.MS);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             proxy.database.greetingLatch = new CountDownLatch(1);
-            PausableProxyFixture.LoopPause pause = greetedWhileHeldUp(proxy, client, other);
+            PausableProxyFixture.LoopPause pause = sendGreetingWithSelectorBlocked(proxy, client, other);
             Thread.sleep(2 * timeoutMs);
             pause.resume();
             Thread.sleep(100);
@@ -296,11 +310,14 @@
         }
     }
 
-    /** A write of id 1 waits for its connection, whose greeting is before the held reader when this returns. */
-    private static PausableProxyFixture.LoopPause greetedWhileHeldUp(
+    /**
+     * Sends a write with id 1, which waits for a database connection. Returns with the event loop paused and the
+     * selector thread blocked, and lets the database send the greeting of that connection.
+     */
+    private static PausableProxyFixture.LoopPause sendGreetingWithSelectorBlocked(
             PausableProxyFixture proxy, PausableProxyFixture.Client client, PausableProxyFixture.Client other)
             throws Exception {
-        client.sendWrite("1", WAIT_MS);
+        client.sendWrite("1", DEADLINE_MS);
         while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
@@ -312,56 +329,56 @@
         return pause;
     }
 
-    /** However many commands a client sends behind one that waits: each has its answer, in its turn. */
+    /** Commands pipelined behind an unanswered one are all answered in order, those over the limit with a rejection. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandsBeyondTheLimitAreRefusedInTheirPlaces() throws Exception {
-        int more = 200_000;
+    public void commandsOverTheLimitAreRejectedInOrder() throws Exception {
+        int pipelinedCommands = 200_000;
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             proxy.database.replyKind = "NO_REPLY";
             client.sendWrite("1", 2_000);
-            client.sendPart("\n".repeat(more));
+            client.sendPart("\n".repeat(pipelinedCommands));
             assertEquals(client.readAnswer(), "Failed");
-            int nothing = 0;
-            int refused = 0;
-            for (int i = 0; i < more; i++) {
+            int emptyReplies = 0;
+            int rejections = 0;
+            for (int i = 0; i < pipelinedCommands; i++) {
                 String answer = client.readAnswer();
                 assertTrue(answer.equals("EmptyQueryResponse") || answer.equals("Rejected"), i + ": " + answer);
-                nothing += answer.equals("EmptyQueryResponse") ? 1 : 0;
-                refused += answer.equals("Rejected") ? 1 : 0;
+                emptyReplies += answer.equals("EmptyQueryResponse") ? 1 : 0;
+                rejections += answer.equals("Rejected") ? 1 : 0;
             }
-            assertEquals(nothing + refused, more);
-            assertTrue(nothing >= 1_023, nothing + " of those behind the first are within the limit");
+            assertEquals(emptyReplies + rejections, pipelinedCommands);
+            assertTrue(emptyReplies >= 1_023, emptyReplies + " empty queries answered within the limit");
             assertTrue(proxy.clientListener.counters().contains(" open_bytes=0"), proxy.clientListener.counters());
         }
     }
 
-    /** The same client goes instead: its close is seen behind all that it has sent. */
+    /** A client that closes after pipelining commands over the limit: the close behind them is detected. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void closeBehindCommandsBeyondTheLimitIsSeen() throws Exception {
+    public void closeBehindCommandsOverTheLimitIsDetected() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
             proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
-            client.sendWrite("1", WAIT_MS);
+            client.sendWrite("1", DEADLINE_MS);
             client.sendPart("\n".repeat(200_000));
             client.close();
             long from = System.nanoTime();
             while (proxy.outstandingRequests() > 0) {
                 Thread.sleep(1);
             }
-            assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(WAIT_MS / 2));
+            assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(DEADLINE_MS / 2));
             assertTrue(proxy.clientListener.counters().contains(" open_bytes=0"), proxy.clientListener.counters());
         }
     }
 
-    /** Guards against reading so little ahead that a client's close behind its commands is not seen. */
+    /** Guards against pausing reads at 200 open commands, which would hide the client's close behind them. */
     @Test(timeOut = TEST_TIMEOUT_MS)
-    public void closeBehindManyUnansweredCommandsIsSeen() throws Exception {
+    public void closeBehindManyUnansweredCommandsIsDetected() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
             proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
             for (int i = 1; i <= 200; i++) {
-                client.sendWrite(Integer.toString(i), WAIT_MS);
+                client.sendWrite(Integer.toString(i), DEADLINE_MS);
             }
             proxy.awaitSelectorThread();
             assertEquals(proxy.outstandingRequests(), 200);
--- a/src/test/java/crankwick/app/DrainsIT.java
+++ b/src/test/java/crankwick/app/DrainsIT.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** What the list of databases says is honoured, whatever becomes of it on its way, on both wires. */
+/** Drains in the endpoint list take effect despite faults in its delivery, on both protocols. */
 public class DrainsIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
-    public void drainingReplicaGetsNothingNew(TestWireClient wire) throws Exception {
+    public void drainingReplicaGetsNoNewRequests(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             ScriptedDatabase draining = d.replicas().get(0);
@@ -28,12 +28,12 @@
         }
     }
 
-    /** Lists are pushed, says the file, and entries can't be read in part: no drain is missed for either. */
+    /** Endpoint lists configured as pushed, with partly invalid entries: the drain takes effect. */
     @Test(dataProvider = "wires")
-    public void drainsOfPushedAndOfPartlySpoiltListsAreHeard(TestWireClient wire) throws Exception {
+    public void drainsInPushedOrPartlyInvalidListsTakeEffect(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "\"ask\"", "\"push\"");
                 Deployment.Client client = d.client()) {
-            ScriptedDatabase draining = lastServing(d, client);
+            ScriptedDatabase draining = replicaServingReads(d, client);
             d.hasMalformedEntries = true;
             d.publishState(draining, "draining");
             for (int i = 0; i < 20; i++) {
@@ -44,9 +44,9 @@
         }
     }
 
-    /** A connection comes up late, its database begins to drain meanwhile: the write goes to the next. */
+    /** A database begins to drain while its connection is being established: the write goes to the new primary. */
     @Test(dataProvider = "wires")
-    public void sendThatHasNotBegunIsDecidedAnewWhenItsDatabaseDrains(TestWireClient wire) throws Exception {
+    public void unsentAttemptIsReroutedWhenItsDatabaseDrains(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0");
                 Deployment.Client client = d.client()) {
             ScriptedDatabase old = d.primary();
@@ -65,8 +65,8 @@
         }
     }
 
-    /** The replica that reads go to: what they would do if they did not hear that it drains. */
-    private ScriptedDatabase lastServing(Deployment d, Deployment.Client client) throws IOException {
+    /** The replica that serves reads now, and would continue to serve them if its drain had no effect. */
+    private ScriptedDatabase replicaServingReads(Deployment d, Deployment.Client client) throws IOException {
         TestWireClient.Answer answer = client.execute(statement("map-view", 1000, ""));
         return d.replicas().stream()
                 .filter(r -> answer.value().startsWith(r.name))
@@ -75,23 +75,23 @@
     }
 
     /**
-     * The operators' hard case: the open watch falls silent, databases begin to drain, and discovery has so
-     * many callers then that the watch opened anew waits 2 s for its turn.
+     * The open watch stops responding, databases begin to drain, and discovery is so loaded that it delays the
+     * replacement watch by 2 s.
      */
     @Test
-    public void drainMissedByASilentWatchIsHonouredInTime() throws Exception {
+    public void drainMissedByASilentWatchTakesEffectInTime() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            long latest = d.silenceWatch(2_000) + TimeUnit.MILLISECONDS.toNanos(2_000 + 50);
+            long honorBy = d.silenceWatch(2_000) + TimeUnit.MILLISECONDS.toNanos(2_000 + 50);
             for (ScriptedDatabase replica : d.replicas()) {
                 d.publishState(replica, "draining");
             }
-            while (System.nanoTime() < latest + TimeUnit.SECONDS.toNanos(1)) {
+            while (System.nanoTime() < honorBy + TimeUnit.SECONDS.toNanos(1)) {
                 assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
                 Thread.sleep(20);
             }
             List<ScriptedDatabase.Attempt> after = d.attemptLog.attempts.stream()
-                    .filter(seen -> seen.receivedAt() > latest)
+                    .filter(seen -> seen.receivedAt() > honorBy)
                     .toList();
             assertTrue(
                     !after.isEmpty() && after.stream().allMatch(s -> s.server().equals("s-a")), after.toString());
@@ -99,9 +99,9 @@
         }
     }
 
-    /** Guards against SIGHUP ending the program, and against a list that is no longer heard after it. */
+    /** Guards against SIGHUP terminating the process, and against missing endpoint updates after a reload. */
     @Test(dataProvider = "wires")
-    public void reloadMovesTheWatchAndSurvivesAnUnreadableFile(TestWireClient wire) throws Exception {
+    public void reloadMovesTheWatchAndIgnoresAnInvalidFile(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.reload("{ \"discovery\": ");
@@ -120,11 +120,11 @@
     }
 
     /**
-     * The hard case: a reservation is out at its primary when that drains and hands over. It has one answer,
-     * from the one attempt that it had, and what comes after goes to the new primary alone.
+     * A write is in flight when its primary drains and hands over its role. The only attempt is answered, and later
+     * writes go to the new primary only.
      */
     @Test(dataProvider = "wires")
-    public void reservationInFlightOutlivesItsPrimarysDrain(TestWireClient wire) throws Exception {
+    public void writeInFlightIsAnsweredWhileItsPrimaryDrains(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client first = d.client();
                 Deployment.Client later = d.client()) {
@@ -149,9 +149,12 @@
         }
     }
 
-    /** Discovery moves while its last answer is on its way: it was told, though the new one is silent. */
+    /**
+     * The discovery address changes while a response from the old address is being received. That response is applied,
+     * although the new address does not respond.
+     */
     @Test
-    public void answerOnItsWayWhenTheWatchMovesIsHeard() throws Exception {
+    public void responseInProgressWhenTheWatchMovesIsApplied() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             d.discovery.midResponsePauseMs = 3_000;
@@ -169,9 +172,9 @@
         }
     }
 
-    /** Answers of all forms are read; what is no list is asked for again, and undoes nothing told. */
+    /** Complete responses of each form are applied; after an invalid one the list is kept and requested again. */
     @Test
-    public void answersOfAllFormsAreReadOrAskedForAgain() throws Exception {
+    public void responsesOfAllFormsAreAppliedOrRequestedAgain() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             ScriptedDatabase before = d.primary();
@@ -180,18 +183,18 @@
                 d.discovery.responseForm = form;
                 d.drainOnly(draining);
                 if (!form.isComplete()) {
-                    assertNoneAt(before, d, client, form);
+                    assertNoNewAttemptsAt(before, d, client, form);
                     d.discovery.responseForm = ScriptedDiscovery.ResponseForm.CONTENT_LENGTH;
                     Thread.sleep(1_000);
                 }
-                assertNoneAt(draining, d, client, form);
+                assertNoNewAttemptsAt(draining, d, client, form);
                 before = draining;
             }
             assertNoViolations(d);
         }
     }
 
-    private void assertNoneAt(ScriptedDatabase draining, Deployment d, Deployment.Client client, Object when)
+    private void assertNoNewAttemptsAt(ScriptedDatabase draining, Deployment d, Deployment.Client client, Object when)
             throws IOException {
         int before = d.attemptLog.attemptsAt(draining.name).size();
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/crankwick/app/OpenCommandsIT.java
+++ b/src/test/java/crankwick/app/OpenCommandsIT.java
@@ -6,24 +6,24 @@
 import java.nio.charset.StandardCharsets;
 import org.testng.annotations.Test;
 
-/** What a client has open: commands and answers beyond the bounds are refused, none is lost, memory suffices. */
+/** Limits on open commands and unread replies: excess commands are rejected, none is lost, and memory suffices. */
 public class OpenCommandsIT extends BothWiresFixture {
     private static final int VALUE_BYTES = 60_000;
     private static final int READS = 300;
-    private static final int READS_AT_ONCE = 15;
+    private static final int READS_PER_BURST = 15;
     private static final int EMPTY_QUERIES = 300_000;
     private static final int SMALL_RECEIVE_BUFFER = 16 * 1_024;
 
-    /** Guards against keeping all answers of a client that is slow to take them: 18 MB here. */
+    /** Guards against buffering all replies of a client that reads them slowly: 18 MB here. */
     @Test
-    public void readsWhoseAnswersThereIsNoRoomForAreRefused() throws Exception {
+    public void readsWhoseRepliesExceedTheBudgetAreRejected() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient())) {
             d.receiveBufferBytes = SMALL_RECEIVE_BUFFER;
             Deployment.Client client = d.client();
             d.databases.forEach(database -> database.paddingChars = VALUE_BYTES);
             for (int i = 0; i < READS; i++) {
                 client.send(statement("map-view", 10_000, ""));
-                Thread.sleep(i % READS_AT_ONCE == 0 ? 100 : 0);
+                Thread.sleep(i % READS_PER_BURST == 0 ? 100 : 0);
             }
             int first = Integer.parseInt(lastId()) - READS + 1;
             int served = 0;
@@ -41,9 +41,9 @@
         }
     }
 
-    /** Guards against handing over answers faster than the client takes them: these would take over 100 MB. */
+    /** Guards against writing replies faster than the client reads them, which would take over 100 MB here. */
     @Test
-    public void answersBehindOneThatWaitsTakeNoMoreMemoryThanThereIs() throws Exception {
+    public void repliesQueuedBehindAnOpenCommandStayWithinMemory() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient())) {
             d.receiveBufferBytes = SMALL_RECEIVE_BUFFER;
             Deployment.Client client = d.client();
--- a/src/test/java/crankwick/app/RulesIT.java
+++ b/src/test/java/crankwick/app/RulesIT.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The rules on sockets before databases of all habits, the same checks on both wires. */
+/** Runs the broker against databases with scripted replies and faults, over sockets and on both protocols. */
 public class RulesIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
     public void readsGoToReplicasAndWritesToThePrimary(TestWireClient wire) throws Exception {
@@ -20,7 +20,7 @@
                 assertTrue(read.value().matches("s-[bc]:" + lastId()), read.value());
                 assertEquals(client.execute(statement("reserve", 3000, "")).value(), "s-a:" + lastId());
             }
-            // The text passes on unchanged but for the time that the proxy itself will wait.
+            // The statement is forwarded unchanged except for d, which carries the remaining time until the deadline.
             String sent = d.attemptLog.attemptsAt("s-a").get(0).statement();
             assertTrue(
                     sent.matches("/\\* id=\\d+,c=reserve,d=[123]\\d\\d\\d,k=5c0f6e1a2b3d\\d+,cluster=0 "
@@ -31,9 +31,9 @@
         }
     }
 
-    /** Guards against answers lost in the first second, when the program still warms up under load. */
+    /** Guards against lost replies in the first second under load, when the JVM is still warming up. */
     @Test(dataProvider = "wires")
-    public void firstBurstAfterTheStartIsAnsweredInItsTime(TestWireClient wire) throws Exception {
+    public void firstBurstAfterStartupIsAnsweredWithinItsDeadline(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire)) {
             List<Deployment.Client> clients = new ArrayList<>();
             long start = System.nanoTime();
@@ -51,23 +51,23 @@
         }
     }
 
-    /** Guards against a new connection for each request that comes right behind an answer. */
+    /** Guards against a new database connection for each request that directly follows a reply. */
     @Test(dataProvider = "wires")
-    public void oneRequestAfterAnotherWaitsForTheConnectionToRest(TestWireClient wire) throws Exception {
+    public void sequentialRequestsReuseTheConnection(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             for (int i = 0; i < 40; i++) {
                 assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
             }
             int opened = d.databases.get(0).openedConnections.get();
-            assertTrue(opened <= 4, "for 40 writes and some probes: " + opened);
+            assertTrue(opened <= 4, "connections opened for 40 writes and the health checks: " + opened);
             assertNoViolations(d);
         }
     }
 
-    /** Guards against a connection lost with each answer past its deadline, and against two answers. */
+    /** Guards against closing a connection for each reply after its deadline, and against a second reply. */
     @Test(dataProvider = "wires")
-    public void answerPastItsDeadlineLeavesTheConnectionForTheNext(TestWireClient wire) throws Exception {
+    public void replyAfterTheDeadlineKeepsTheConnectionOpen(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.delayMs = 300);
@@ -80,14 +80,14 @@
                     .mapToInt(replica -> replica.openedConnections.get())
                     .sum();
             assertTrue(d.attemptLog.attempts.size() >= 2, d.attemptLog.attempts.toString());
-            assertTrue(opened <= 6, "for two replicas: " + opened);
+            assertTrue(opened <= 6, "connections opened to two replicas: " + opened);
             assertNoViolations(d);
         }
     }
 
-    /** Guards against a miss that is taken for an answer, and against both replicas being asked at once. */
+    /** Guards against serving a stale replica's rejection, and against concurrent attempts on both replicas. */
     @Test(dataProvider = "wires")
-    public void missedReadGoesToAnotherReplica(TestWireClient wire) throws Exception {
+    public void readRejectedByAStaleReplicaIsRetriedOnAnother(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.replicas().get(0).replyKind = "STALE";
@@ -98,28 +98,28 @@
         }
     }
 
-    /** Guards against noise, a cut value or another's value being served, and against its sender hanging. */
+    /** Guards against serving a malformed, truncated or foreign value, and against a client left without a reply. */
     @Test(dataProvider = "wires")
-    public void spoiltAnswerIsAFailedAttemptAndNeverServed(TestWireClient wire) throws Exception {
+    public void malformedReplyFailsTheAttemptAndIsNeverServed(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.replyKind = "MALFORMED");
-            int ways = wire.malformedReplies(new TestWireClient.DatabaseReply("", "", "", 0)).length;
-            for (int i = 0; i < 200 && d.attemptLog.attemptsAt("s-a").size() < 3 * ways; i++) {
+            int malformedForms = wire.malformedReplies(new TestWireClient.DatabaseReply("", "", "", 0)).length;
+            for (int i = 0; i < 200 && d.attemptLog.attemptsAt("s-a").size() < 3 * malformedForms; i++) {
                 TestWireClient.Answer answer = client.execute(statement(i % 4 == 0 ? "map-view" : "reserve", 3000, ""));
                 assertTrue(answer.value() == null || answer.value().endsWith(":" + lastId()), answer.toString());
             }
-            assertTrue(d.attemptLog.attemptsAt("s-a").size() >= 3 * ways, d.attemptLog.attempts.toString());
+            assertTrue(d.attemptLog.attemptsAt("s-a").size() >= 3 * malformedForms, d.attemptLog.attempts.toString());
             assertNoViolations(d);
         }
     }
 
     /**
-     * Guards against the copy of one answer being taken for the next one's. What no proxy can tell is left
-     * out: a copy that a busy machine held up until after the connection's rest.
+     * Guards against taking the duplicate of one reply for the reply to the next request. Duplicates that a busy
+     * machine delays past the proxy's pause after each reply are exempt, because no proxy can detect them.
      */
     @Test(dataProvider = "wires")
-    public void copyBehindAnAnswerServesNobody(TestWireClient wire) throws Exception {
+    public void duplicateOfAReplyIsNeverServed(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client();
                 Deployment.Client other = d.client()) {
@@ -127,8 +127,8 @@
             for (int i = 0; i < 40; i++) {
                 client.send(statement(i % 2 == 0 ? "reserve" : "map-view", 3000, ""));
                 String first = lastId();
-                ownOrLateCopy(d, other.execute(statement("reserve", 3000, "")), lastId());
-                ownOrLateCopy(d, client.readAnswer(), first);
+                assertOwnValueOrDelayedDuplicate(d, other.execute(statement("reserve", 3000, "")), lastId());
+                assertOwnValueOrDelayedDuplicate(d, client.readAnswer(), first);
             }
             assertEquals(
                     d.attemptLog.attempts.stream()
@@ -143,7 +143,8 @@
         }
     }
 
-    private static void ownOrLateCopy(Deployment d, TestWireClient.Answer answer, String id) throws Exception {
+    private static void assertOwnValueOrDelayedDuplicate(Deployment d, TestWireClient.Answer answer, String id)
+            throws Exception {
         if (!String.valueOf(answer.value()).endsWith(":" + id)) {
             Thread.sleep(100);
             assertTrue(d.attemptLog.delayedCopies.contains(answer.value()), answer + " for " + id);
@@ -151,7 +152,7 @@
     }
 
     @Test(dataProvider = "wires")
-    public void reportThatCantBeReadSpoilsNoAnswer(TestWireClient wire) throws Exception {
+    public void invalidLoadReportDoesNotFailTheReply(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.replyKind = "INVALID_REPORT");
@@ -164,9 +165,10 @@
         }
     }
 
-    /** Guards against a keyed write that may have run being repeated after its key has lapsed, or refused. */
+    /** Guards against retrying after its key window a keyed write that may have run, and against rejecting it. */
     @Test(dataProvider = "wires")
-    public void keyedWriteThatMayHaveRunIsRepeatedWithinItsKeyAndNeverRefused(TestWireClient wire) throws Exception {
+    public void keyedWriteThatMayHaveRunIsRetriedWithinItsKeyWindowAndNeverRejected(TestWireClient wire)
+            throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.primary().replyKind = "DISCONNECT";
@@ -182,9 +184,9 @@
         }
     }
 
-    /** Guards against a read lost on a silent database, and against a second attempt beside the first. */
+    /** Guards against a read lost on a database that does not reply, and against concurrent attempts of one read. */
     @Test(dataProvider = "wires")
-    public void readOnASilentReplicaIsWithdrawnAndGoesToTheOther(TestWireClient wire) throws Exception {
+    public void readOnASilentReplicaIsCancelledAndRetriedOnTheOther(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.replicas().get(0).replyKind = "NO_REPLY";
@@ -195,9 +197,9 @@
         }
     }
 
-    /** Guards against an answer lost, or given twice, where no database ever answers. */
+    /** Guards against a missing or a second reply to the client when no database replies. */
     @Test(dataProvider = "wires")
-    public void everythingSilentEndsInOneAnswerWithinTheDeadline(TestWireClient wire) throws Exception {
+    public void clientGetsOneReplyByTheDeadlineWhenNoDatabaseReplies(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.replyKind = "NO_REPLY");
@@ -215,14 +217,14 @@
         }
     }
 
-    /** A request that the module gives up on is answered at once, and says when to come again. */
+    /** A request that the router gives up on is rejected immediately, with a retry-after. */
     @Test(dataProvider = "wires")
-    public void givenUpIsRefusedAtOnceWithARetryAfter(TestWireClient wire) throws Exception {
+    public void requestWithoutEndpointsIsRejectedImmediatelyWithARetryAfter(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             long start = System.nanoTime();
-            String elsewhere = statement("map-view", 30_000, "").replace("cluster=0", "cluster=7");
-            TestWireClient.Answer answer = client.execute(elsewhere);
+            String unknownGroup = statement("map-view", 30_000, "").replace("cluster=0", "cluster=7");
+            TestWireClient.Answer answer = client.execute(unknownGroup);
             long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
             assertEquals(answer.kind(), "REFUSED", answer.toString());
             assertTrue(answer.retryAfter() > 0, answer.toString());
@@ -232,11 +234,12 @@
     }
 
     /**
-     * Guards against a network that resets connections passing for databases that fail or start anew. What no
-     * proxy can tell is left out: a reset that a busy machine held up until it may come from the database.
+     * Guards against treating connection resets by the network as failures or restarts of the databases. The check is
+     * relaxed if a busy machine delays a reset until it may come from the database, because no proxy can tell these
+     * apart.
      */
     @Test(dataProvider = "wires")
-    public void resetConnectionsAreNoRestartsOfTheirDatabases(TestWireClient wire) throws Exception {
+    public void connectionResetsAreNotTreatedAsDatabaseRestarts(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.resetsConnections = true);
@@ -262,9 +265,9 @@
         }
     }
 
-    /** Guards against a request written to a connection that the database is about to end. */
+    /** Guards against sending a request on a connection that the database is about to close as idle. */
     @Test(dataProvider = "wires")
-    public void idleConnectionsAreEndedBeforeTheDatabaseEndsThem(TestWireClient wire) throws Exception {
+    public void idleConnectionsAreClosedBeforeTheDatabaseClosesThem(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.databases.forEach(database -> database.idleTimeoutMs = 4_000);
--- a/src/test/java/crankwick/app/StartIT.java
+++ b/src/test/java/crankwick/app/StartIT.java
@@ -10,10 +10,10 @@
 import org.testng.annotations.Test;
 import org.tomlj.Toml;
 
-/** How the platform starts it: with the flags of {@code run}, on part of a core, in little memory. */
+/** Starts the program as the platform does: with the JVM flags of {@code run}, on part of a core, in little memory. */
 public class StartIT {
-    /** Of the smallest machine, 128 MB: the rest is for stacks, the class archive and the virtual machine. */
-    private static final int MOST_MB = 108;
+    /** The smallest machine has 128 MB: the rest is for stacks, the class archive and the virtual machine. */
+    private static final int MAX_MB = 108;
 
     private static final Pattern SIZE =
             Pattern.compile("(?:Xmx|MaxMetaspaceSize=|ReservedCodeCacheSize=|MaxDirectMemorySize=)(\\d+)m");
@@ -23,30 +23,30 @@
     }
 
     @Test
-    public void whatTheFlagsAllowFitsTheSmallestMachine() throws Exception {
+    public void memoryLimitsOfTheFlagsFitTheSmallestMachine() throws Exception {
         int sizes = 0;
         int sum = 0;
         for (Matcher m = SIZE.matcher(flags()); m.find(); sizes++) {
             sum += Integer.parseInt(m.group(1));
         }
         assertEquals(sizes, 4, flags());
-        assertTrue(sum <= MOST_MB, flags());
+        assertTrue(sum <= MAX_MB, flags());
     }
 
-    /** In the least memory, with a list of 1,024 databases that comes indented. */
+    /** An indented list of 1,024 databases fits into the memory that the flags allow. */
     @Test
-    public void listOf1024DatabasesIsCarried() throws Exception {
+    public void listOf1024DatabasesIsProcessed() throws Exception {
         System.setProperty("crankwick.jvm", flags());
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             d.otherGroupEndpoints = 1_021;
             for (int i = 0; i < 4; i++) {
-                ScriptedDatabase leaving = d.replicas().get(i % 2);
-                d.publishState(leaving, "draining");
+                ScriptedDatabase drainingReplica = d.replicas().get(i % 2);
+                d.publishState(drainingReplica, "draining");
                 String value = client.execute("/* id=" + i + ",c=map-view,d=2000,cluster=0 */ SELECT 1")
                         .value();
                 assertEquals(value, d.replicas().get(1 - i % 2).name + ":" + i);
-                d.publishState(leaving, "up");
+                d.publishState(drainingReplica, "up");
             }
             assertTrue(d.log.stream().noneMatch(line -> line.contains("Error")), d.log.toString());
         } finally {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Guards against a start that bootstraps what no class archive holds: seconds on part of a core. */
+    /** Guards against startup loading classes that no class archive can hold, which takes seconds on part of a core. */
     @Test
     public void startAndFirstRequestLoadNoBootstrapMachinery() throws Exception {
         System.setProperty("crankwick.jvm", flags() + " -Xlog:class+load:stdout");
