--- a/src/main/java/crankwick/client/ClientCommand.java
+++ b/src/main/java/crankwick/client/ClientCommand.java
@@ -8,14 +8,14 @@
  */
 public final class ClientCommand {
     final ClientSession session;
-    /** The broker's id for the request. */
+    /** Identifies the request in broker events; unique among the listener's commands. */
     final long requestId;
     /** The client's message; null for an error that the listener itself reports. */
     final ClientMessage message;
     /** Null until the reply is available. */
     ClientReply reply;
-    /** The number of consecutive commands that share this queue entry; each gets this reply. */
-    long repeatCount = 1;
+    /** The replies still to be written for this queue entry: one for each of the consecutive commands sharing it. */
+    long pendingReplies = 1;
 
     private final Statement statement;
     /** The number of the message on its connection, from 1; 0 for an error that the listener itself reports. */
--- a/src/main/java/crankwick/client/ClientListener.java
+++ b/src/main/java/crankwick/client/ClientListener.java
@@ -88,7 +88,10 @@
         admission.markReady();
     }
 
-    /** Stops listening and closes each connection once it is idle; requests end by {@code deadlineMicros}. */
+    /**
+     * Stops accepting connections and closes each open one once it is idle. Requests that are still open at
+     * {@code deadlineMicros} fail.
+     */
     public void beginShutdown(long deadlineMicros) {
         writer.beginShutdown();
         admission.limitDeadlines(deadlineMicros);
--- a/src/main/java/crankwick/client/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -45,7 +45,7 @@
     boolean closePending;
 
     long idleSinceMicros;
-    /** When the connection is terminated after its last reply; 0 until that reply is queued. */
+    /** The end of the linger period, after which the connection is terminated; 0 if the session is not lingering. */
     long lingerUntilMicros;
 
     private long messagesDelivered;
--- a/src/main/java/crankwick/client/CommandAdmission.java
+++ b/src/main/java/crankwick/client/CommandAdmission.java
@@ -134,7 +134,7 @@
     private void onOverLimit(ClientSession session, ClientMessage message, long number, long readAt) {
         ClientCommand last = session.commands.peekLast();
         if (last != null && last.message instanceof ClientMessage.OverLimit) {
-            last.repeatCount++;
+            last.pendingReplies++;
             writer.flush(session);
         } else {
             ClientCommand command = new ClientCommand(session, requests.nextId(), null, message, number, readAt);
--- a/src/main/java/crankwick/client/IdleSweeper.java
+++ b/src/main/java/crankwick/client/IdleSweeper.java
@@ -7,7 +7,7 @@
 /** Periodically closes sessions that do not send, complete or read in time. Confined to the event loop. */
 final class IdleSweeper {
     private static final long SWEEP_INTERVAL_MICROS = 100_000;
-    /** The maximum time from accepting a connection to its first command. */
+    /** The idle timeout before the first command; restarts at each reply, such as the reply to a login. */
     private static final long FIRST_COMMAND_TIMEOUT_MICROS = 2_000_000;
 
     private static final long COMMAND_STALL_TIMEOUT_MICROS = 2_000_000;
--- a/src/main/java/crankwick/client/OpenRequests.java
+++ b/src/main/java/crankwick/client/OpenRequests.java
@@ -42,7 +42,7 @@
         List<ClientCommand> abandoned = new ArrayList<>(session.commands);
         session.commands.clear();
         for (ClientCommand command : abandoned) {
-            session.onAnswered(command.message, command.repeatCount);
+            session.onAnswered(command.message, command.pendingReplies);
             session.releaseReply(command.reply == null ? 0 : command.reply.valueBytes());
             if (commandsById.remove(command.requestId) != null) {
                 broker.publish(new BrokerEvent.RequestAbandoned(command.requestId, reason));
--- a/src/main/java/crankwick/client/OrderedReplyWriter.java
+++ b/src/main/java/crankwick/client/OrderedReplyWriter.java
@@ -15,7 +15,10 @@
 final class OrderedReplyWriter {
     /** The maximum size of a reply besides its value. */
     private static final int REPLY_OVERHEAD_BYTES = 256;
-    /** How long input is read and dropped after the last reply: a reset would destroy that reply. */
+    /**
+     * How long input is read and dropped after the last reply: closing with unread input sends a reset, on which the
+     * client may lose that reply.
+     */
     private static final long LINGER_MICROS = 2_000_000;
 
     private final EventLoop loop;
@@ -103,7 +106,7 @@
                 && !session.isLingering()
                 && session.mayWrite()) {
             ClientCommand command = session.commands.peek();
-            if (--command.repeatCount == 0) {
+            if (--command.pendingReplies == 0) {
                 session.commands.poll();
             }
             session.idleSinceMicros = clock.now();
@@ -149,7 +152,8 @@
 
         @Override
         public void failed(Throwable fault) {
-            // Guards against a client that does not read: its unwritten replies must not accumulate.
+            // The transport fails writes beyond its limit when the client does not read. Closing the connection keeps
+            // its unwritten replies from accumulating.
             session.connection.terminateSilently();
         }
     }
--- a/src/main/java/crankwick/database/DatabasePool.java
+++ b/src/main/java/crankwick/database/DatabasePool.java
@@ -110,12 +110,14 @@
         Host host = hosts.find(exchange.endpointId());
         long quarantinedAfter = context.clock().now() - POST_RESPONSE_QUARANTINE_MICROS;
         PooledConnection usable = host == null ? null : host.takeMostRecentlyUsed(quarantinedAfter);
-        PooledConnection quarantined = host == null || usable != null ? null : host.takeLongestIdle();
+        PooledConnection quarantined = host == null || usable != null ? null : host.takeLeastRecentlyUsed();
         if (usable != null) {
             usable.start(exchange);
         } else if (quarantined != null) {
             quarantined.startAt(quarantined.idleSinceMicros() + POST_RESPONSE_QUARANTINE_MICROS, exchange);
-        } else if (host == null || host.address() == null || connections >= maxConnections && !evictLongestIdle()) {
+        } else if (host == null
+                || host.address() == null
+                || connections >= maxConnections && !evictLeastRecentlyUsed()) {
             exchange.end(AttemptResult.NOT_SENT, null);
         } else {
             open(host.address(), exchange);
@@ -128,13 +130,13 @@
         new PooledConnection(context, owner, exchange, connectTimeoutMicros).connect(transport, address, chain);
     }
 
-    /** Closes the longest idle connection to make room for a new one; false if none is idle. */
-    private boolean evictLongestIdle() {
-        PooledConnection longest = hosts.longestIdle();
-        if (longest != null) {
-            longest.discard(AttemptResult.RESET);
+    /** Closes the least recently used idle connection to make room for a new one; false if none is idle. */
+    private boolean evictLeastRecentlyUsed() {
+        PooledConnection oldest = hosts.leastRecentlyUsed();
+        if (oldest != null) {
+            oldest.discard(AttemptResult.RESET);
         }
-        return longest != null;
+        return oldest != null;
     }
 
     private void reap() {
--- a/src/main/java/crankwick/database/Host.java
+++ b/src/main/java/crankwick/database/Host.java
@@ -12,7 +12,7 @@
 final class Host {
     private static final long NOT_REMOVED = Long.MAX_VALUE;
 
-    /** Connections without an exchange, longest idle first. */
+    /** Connections without an exchange, least recently used first. */
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
     /** Null before the endpoint list names the host, and after {@link #unlist}. */
     private EndpointAddress listed;
@@ -24,7 +24,7 @@
         return listed == null ? null : listed.address();
     }
 
-    /** Applies an entry of the endpoint list; closes idle connections to an earlier process or address. */
+    /** Applies an entry of the endpoint list; closes idle connections if the host is removed, restarted or moved. */
     void update(EndpointAddress entry, long nowMicros) {
         EndpointAddress known = listed;
         boolean removed = entry.endpoint().status() == EndpointStatus.REMOVED;
@@ -85,13 +85,13 @@
         return null;
     }
 
-    /** Removes and returns the longest idle connection; null if there is none. */
-    PooledConnection takeLongestIdle() {
+    /** Removes and returns the least recently used connection; null if there is none. */
+    PooledConnection takeLeastRecentlyUsed() {
         return idle.pollFirst();
     }
 
-    /** Returns the longest idle connection without removing it; null if there is none. */
-    PooledConnection longestIdle() {
+    /** Returns the least recently used connection without removing it; null if there is none. */
+    PooledConnection leastRecentlyUsed() {
         return idle.peekFirst();
     }
 
--- a/src/main/java/crankwick/database/HostRegistry.java
+++ b/src/main/java/crankwick/database/HostRegistry.java
@@ -39,16 +39,16 @@
         }
     }
 
-    /** The longest idle connection of all hosts; null if none is idle. */
-    PooledConnection longestIdle() {
-        PooledConnection longest = null;
+    /** The least recently used idle connection of all hosts; null if none is idle. */
+    PooledConnection leastRecentlyUsed() {
+        PooledConnection oldest = null;
         for (Host host : hosts.values()) {
-            PooledConnection candidate = host.longestIdle();
-            if (candidate != null && (longest == null || candidate.idleSinceMicros() < longest.idleSinceMicros())) {
-                longest = candidate;
+            PooledConnection candidate = host.leastRecentlyUsed();
+            if (candidate != null && (oldest == null || candidate.idleSinceMicros() < oldest.idleSinceMicros())) {
+                oldest = candidate;
             }
         }
-        return longest;
+        return oldest;
     }
 
     /** Closes connections idle for longer than {@code maxIdleMicros} and drops hosts past their retention. */
--- a/src/main/java/crankwick/database/PooledConnection.java
+++ b/src/main/java/crankwick/database/PooledConnection.java
@@ -139,7 +139,7 @@
         var writtenHandler = new CommandWrittenHandler(this, next);
         Transport.onSelectorThread(socket, () -> {
             if (next.requiresClientRecheck()) {
-                // A task submitted by a task runs after pending reads: see Transport.afterPendingReads.
+                // Queued again, so that the client's pending input is read first: see Transport.afterPendingReads.
                 Transport.onSelectorThread(socket, () -> sendUnlessCancelled(next, claim, writtenHandler));
             } else {
                 sendUnlessCancelled(next, claim, writtenHandler);
@@ -147,7 +147,10 @@
         });
     }
 
-    /** Reserves the connection for the exchange until its quarantine ends: sooner than a new one could connect. */
+    /**
+     * Assigns the exchange now and starts it at the given time, when the connection's quarantine ends; opening a new
+     * connection would take longer.
+     */
     void startAt(long micros, Exchange next) {
         assign(next);
         sendClaim = new AtomicBoolean();
@@ -297,8 +300,8 @@
     }
 
     /**
-     * Ends the exchange and keeps the connection, which may still be connecting; returns false if writing the
-     * command has begun.
+     * Ends the exchange without closing the connection, which returns to the pool as soon as it is ready. Returns
+     * false and changes nothing if writing the command has begun.
      */
     boolean cancelQueued(AttemptResult result) {
         if (greeted && !sendClaim.compareAndSet(false, true)) {
--- a/src/main/java/crankwick/discovery/Discovery.java
+++ b/src/main/java/crankwick/discovery/Discovery.java
@@ -21,7 +21,7 @@
 
     /** Changes to the list or a complete list, depending on {@code kind}. */
     record ListUpdate(EndpointUpdateKind kind, List<DiscoveredEndpoint> discoveredEndpoints) {
-        /** The list without the addresses. */
+        /** The update's endpoints, without their addresses. */
         public List<Endpoint> endpoints() {
             return discoveredEndpoints.stream()
                     .map(DiscoveredEndpoint::endpoint)
--- a/src/main/java/crankwick/discovery/EndpointList.java
+++ b/src/main/java/crankwick/discovery/EndpointList.java
@@ -49,7 +49,7 @@
         return null;
     }
 
-    /** Converts the list of a configuration, in which every entry must be readable. */
+    /** Converts a configuration's list to an update; throws EndpointListFormatException if an entry is unreadable. */
     public static ListUpdate requireComplete(List<Entry> entries) {
         String fault = firstFault(entries);
         if (fault != null) {
@@ -94,7 +94,7 @@
                 complete ? EndpointUpdateKind.FULL : EndpointUpdateKind.INCREMENTAL, new ArrayList<>(named.values()));
     }
 
-    /** The last known state for an unreadable entry, with its status if that reads as draining or removed. */
+    /** The endpoint's last known state, with the entry's status if that is draining or removed; null if unknown. */
     private DiscoveredEndpoint lastKnownOf(Entry entry) {
         DiscoveredEndpoint discovered = lastKnown.get(entry.endpointId());
         if (discovered == null || entry.status() == null || entry.status() == EndpointStatus.LIVE) {
--- a/src/main/java/crankwick/discovery/EndpointWatch.java
+++ b/src/main/java/crankwick/discovery/EndpointWatch.java
@@ -89,7 +89,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Schedules the first call. */
+    /** Sets the timer for the first call to discovery, after a random delay. */
     public void start(long now) {
         nextTimerAt = now + random.nextLong(START_JITTER_MICROS);
     }
