--- a/src/main/java/crankwick/failover/EvidenceFilter.java
+++ b/src/main/java/crankwick/failover/EvidenceFilter.java
@@ -16,7 +16,7 @@
  */
 final class EvidenceFilter {
     /** A connection that fails within this fraction of the connect timeout counts as refused, not as timed out. */
-    private static final double IMMEDIATE_REFUSAL_FRACTION = 0.8;
+    private static final double REFUSED_TIMEOUT_FRACTION = 0.8;
 
     private final GroupRegistry groups;
     private final long connectTimeout;
@@ -102,7 +102,7 @@
     }
 
     private void observeUnreachable(GroupState group, String endpointId, long sentAt, long now) {
-        boolean refused = now - sentAt < connectTimeout * IMMEDIATE_REFUSAL_FRACTION;
+        boolean refused = now - sentAt < connectTimeout * REFUSED_TIMEOUT_FRACTION;
         group.leadership()
                 .observe(
                         refused
--- a/src/main/java/crankwick/model/Failover.java
+++ b/src/main/java/crankwick/model/Failover.java
@@ -69,7 +69,7 @@
     }
 
     private boolean isEligible(Member member) {
-        return member.isUp() && !member.isDraining() && !leadership.isMostRecentLeader(member);
+        return member.isUp() && !member.isDraining() && !leadership.isLatestLeader(member);
     }
 
     private static boolean isPreferred(Member member, Member other) {
@@ -79,7 +79,7 @@
     }
 
     private void promote(Member member) {
-        Member previous = members.get(leadership.mostRecentLeader());
+        Member previous = members.get(leadership.latestLeader());
         member.progress().catchUpTo(log.end());
         member.setClaimsPrimary(true);
         leadership.elect(member);
@@ -124,12 +124,12 @@
     }
 
     /**
-     * A member's process has restarted or resumed after a hang. The most recent leader resumes its role if its
+     * A member's process has restarted or resumed after a hang. The latest leader resumes its role if its
      * failure has not been declared yet; a deposed leader is demoted after a delay; a replica catches up with the
      * log.
      */
     void onResponsive(Member member) {
-        if (leadership.isMostRecentLeader(member) && !leadership.hasLeader() && !member.isDraining()) {
+        if (leadership.isLatestLeader(member) && !leadership.hasLeader() && !member.isDraining()) {
             if (leadership.isDetectingFailure()) {
                 resumeLeadership(member);
             } else {
--- a/src/main/java/crankwick/model/GroupModel.java
+++ b/src/main/java/crankwick/model/GroupModel.java
@@ -89,8 +89,8 @@
     }
 
     /** The index of the current leader or, if the group has none, of the previous leader. */
-    public int mostRecentLeader() {
-        return leadership.mostRecentLeader();
+    public int latestLeader() {
+        return leadership.latestLeader();
     }
 
     /** Whether a write can be acknowledged now: the group has a leader, and another member is up to receive entries. */
--- a/src/main/java/crankwick/model/Leadership.java
+++ b/src/main/java/crankwick/model/Leadership.java
@@ -13,7 +13,7 @@
     }
 
     private State state = State.LEADER_ACTIVE;
-    private int mostRecentLeader;
+    private int latestLeader;
     private long epoch;
     private long lastHeartbeatAt;
 
@@ -23,11 +23,11 @@
 
     /** The index of the current leader, or {@link #NO_LEADER}. */
     int leader() {
-        return state == State.LEADER_ACTIVE ? mostRecentLeader : NO_LEADER;
+        return state == State.LEADER_ACTIVE ? latestLeader : NO_LEADER;
     }
 
-    int mostRecentLeader() {
-        return mostRecentLeader;
+    int latestLeader() {
+        return latestLeader;
     }
 
     boolean hasLeader() {
@@ -35,12 +35,12 @@
     }
 
     boolean isLeader(Member member) {
-        return state == State.LEADER_ACTIVE && member.index() == mostRecentLeader;
+        return state == State.LEADER_ACTIVE && member.index() == latestLeader;
     }
 
     /** Whether a member is the current leader or, if the group has none, was the previous leader. */
-    boolean isMostRecentLeader(Member member) {
-        return member.index() == mostRecentLeader;
+    boolean isLatestLeader(Member member) {
+        return member.index() == latestLeader;
     }
 
     /** Whether the leader is unresponsive but not declared failed, so that it resumes its role if it recovers. */
@@ -73,7 +73,7 @@
 
     void elect(Member member) {
         state = State.LEADER_ACTIVE;
-        mostRecentLeader = member.index();
+        latestLeader = member.index();
         epoch++;
     }
 
--- a/src/main/java/crankwick/model/ProcessLifecycle.java
+++ b/src/main/java/crankwick/model/ProcessLifecycle.java
@@ -84,6 +84,6 @@
     }
 
     private boolean hasDrained(Member member) {
-        return member.isDraining() && !leadership.isLeader(member) && !leadership.isMostRecentLeader(member);
+        return member.isDraining() && !leadership.isLeader(member) && !leadership.isLatestLeader(member);
     }
 }
--- a/src/main/java/crankwick/model/StatementExecutor.java
+++ b/src/main/java/crankwick/model/StatementExecutor.java
@@ -84,13 +84,13 @@
         startQueued(member);
     }
 
-    private void completeRead(Member member, StatementExecution statement, long waitUntil) {
+    private void completeRead(Member member, StatementExecution statement, long deadline) {
         if (responder.position(member) >= statement.request().requiredPosition()) {
             responder.answer(member, statement, AttemptResult.OK);
-        } else if (context.now() >= waitUntil || statement.isAbandoned()) {
+        } else if (context.now() >= deadline || statement.isAbandoned()) {
             responder.answer(member, statement, AttemptResult.INELIGIBLE_REPLICA);
         } else {
-            context.scheduleAfter(READ_RECHECK_MICROS, () -> completeRead(member, statement, waitUntil));
+            context.scheduleAfter(READ_RECHECK_MICROS, () -> completeRead(member, statement, deadline));
         }
     }
 
--- a/src/main/java/crankwick/routing/OpenRequests.java
+++ b/src/main/java/crankwick/routing/OpenRequests.java
@@ -51,7 +51,7 @@
             PendingRequest request, EndpointState attempted, AttemptResult result, long now, RoutingActions actions) {
         request.addAttemptedEndpoint(attempted);
         request.group().endPrimaryProbe(request);
-        if (retryPolicy.tryRetry(request, result, now)) {
+        if (retryPolicy.tryAcquireRetry(request, result, now)) {
             enqueue(request);
         } else {
             rejectOrFail(request, actions);
--- a/src/main/java/crankwick/routing/ReportedLoad.java
+++ b/src/main/java/crankwick/routing/ReportedLoad.java
@@ -12,9 +12,9 @@
     /** The effect of a report on the expected latency decays linearly to zero over this time. */
     private static final long REPORT_DECAY_MICROS = MICROS_PER_SECOND;
     /** Number of requests that an endpoint executes in parallel. */
-    private static final double PARALLEL_REQUESTS = 3;
+    private static final double ASSUMED_PARALLEL_REQUESTS = 3;
     /** Latency added by each queued request, in typical durations. */
-    private static final double LATENCY_PER_QUEUED_REQUEST = 2.5 / PARALLEL_REQUESTS;
+    private static final double LATENCY_PER_QUEUED_REQUEST = 2.5 / ASSUMED_PARALLEL_REQUESTS;
 
     private double queueLength;
     private double utilization;
@@ -26,7 +26,9 @@
     }
 
     private static double queued(LoadReport report) {
-        return Double.isNaN(report.queueLength()) ? report.inFlight() - PARALLEL_REQUESTS : report.queueLength();
+        return Double.isNaN(report.queueLength())
+                ? report.inFlight() - ASSUMED_PARALLEL_REQUESTS
+                : report.queueLength();
     }
 
     void update(LoadReport report, long now) {
--- a/src/main/java/crankwick/routing/RetryPolicy.java
+++ b/src/main/java/crankwick/routing/RetryPolicy.java
@@ -59,7 +59,7 @@
     }
 
     /** Withdraws a retry from the budget after an attempt with this result; returns false if no retry is allowed. */
-    boolean tryRetry(PendingRequest request, AttemptResult result, long now) {
+    boolean tryAcquireRetry(PendingRequest request, AttemptResult result, long now) {
         int cost = isExemptFromBudget(result) ? 0 : 1;
         if (!mayRetry(request, now) || balance < cost) {
             return false;
--- a/src/main/java/crankwick/routing/SessionTokenStore.java
+++ b/src/main/java/crankwick/routing/SessionTokenStore.java
@@ -22,9 +22,9 @@
     void put(long session, long position) {
         positions.merge(session, position, Math::max);
         if (positions.size() > MAX_SESSIONS) {
-            Iterator<Map.Entry<Long, Long>> leastRecent = positions.entrySet().iterator();
-            evictedPosition = Math.max(evictedPosition, leastRecent.next().getValue());
-            leastRecent.remove();
+            Iterator<Map.Entry<Long, Long>> lruIterator = positions.entrySet().iterator();
+            evictedPosition = Math.max(evictedPosition, lruIterator.next().getValue());
+            lruIterator.remove();
         }
     }
 }
--- a/src/main/java/crankwick/simulation/FaultSchedule.java
+++ b/src/main/java/crankwick/simulation/FaultSchedule.java
@@ -100,9 +100,9 @@
     /** Crashes the next candidate for leader too if there is no leader yet and another member responds. */
     private void crashSuccessor(SimulatedGroup group) {
         GroupModel model = group.model();
-        int successor = (model.mostRecentLeader() + 1) % members;
+        int successor = (model.latestLeader() + 1) % members;
         int next = (successor + 1) % members;
-        int other = next == model.mostRecentLeader() ? (successor + 2) % members : next;
+        int other = next == model.latestLeader() ? (successor + 2) % members : next;
         if (model.leader() < 0 && model.isResponsive(successor) && model.isResponsive(other)) {
             inject(group, successor, Kind.CRASH);
             restartAfter(group, successor, random.between(SECONDS, 3 * SECONDS));
--- a/src/test/java/crankwick/routing/RetryPolicyTest.java
+++ b/src/test/java/crankwick/routing/RetryPolicyTest.java
@@ -42,30 +42,30 @@
     void attemptsAreLimitedPerRequest() {
         PendingRequest request = request();
         for (int i = 0; i < settings.limits().maxAttempts(); i++) {
-            assertTrue(policy.tryRetry(request, AttemptResult.ERROR, NOW));
+            assertTrue(policy.tryAcquireRetry(request, AttemptResult.ERROR, NOW));
             request.startAttempt(endpoint, Long.MAX_VALUE, NOW);
         }
-        assertFalse(policy.tryRetry(request, AttemptResult.ERROR, NOW));
+        assertFalse(policy.tryAcquireRetry(request, AttemptResult.ERROR, NOW));
     }
 
     @Test
     void retriesUseTheBudgetUnlessTheResultIsExempt() {
         int retries = 0;
-        while (policy.tryRetry(request(), AttemptResult.ERROR, NOW)) {
+        while (policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW)) {
             retries++;
         }
         assertEquals(30, retries);
-        assertTrue(policy.tryRetry(request(), AttemptResult.INELIGIBLE_REPLICA, NOW));
+        assertTrue(policy.tryAcquireRetry(request(), AttemptResult.INELIGIBLE_REPLICA, NOW));
         for (int i = 0; i < 4; i++) {
-            assertFalse(policy.tryRetry(request(), AttemptResult.ERROR, NOW));
+            assertFalse(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW));
             policy.depositForRequest();
         }
-        assertTrue(policy.tryRetry(request(), AttemptResult.ERROR, NOW));
+        assertTrue(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW));
     }
 
     @Test
     void noRetryStartsWithinTheResponseMarginBeforeTheDeadline() {
-        assertFalse(policy.tryRetry(request(), AttemptResult.ERROR, NOW + 2_970_000));
-        assertTrue(policy.tryRetry(request(), AttemptResult.ERROR, NOW + 2_969_999));
+        assertFalse(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW + 2_970_000));
+        assertTrue(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW + 2_969_999));
     }
 }
