--- a/src/main/java/crankwick/broker/DeadlineHandler.java
+++ b/src/main/java/crankwick/broker/DeadlineHandler.java
@@ -59,9 +59,10 @@
     }
 
     /**
-     * Only the database pool knows whether the attempt has begun. If not, the effect ends it with NOT_SENT; otherwise
-     * the attempt is still in flight when the rescheduled deadline is handled right afterwards, and is cancelled as an
-     * attempt that may have executed.
+     * Requests cancellation of an attempt that may still be queued in the database pool, and schedules the deadline
+     * again without delay. Only the pool knows whether the attempt has begun. If it has not, the pool ends it with
+     * NOT_SENT. If it has, the attempt is still in flight at the second deadline, which cancels it as an attempt that
+     * may have executed.
      */
     private void cancelQueuedAttempt(ActiveRequest request) {
         request.markQueuedCancelRequested();
--- a/src/main/java/crankwick/failover/FailoverDecisions.java
+++ b/src/main/java/crankwick/failover/FailoverDecisions.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Handles a new leader: records the failover's duration and, unless planned, cancels attempts at other
-     * endpoints.
+     * Handles a new leader. Resets the release window, records the duration of the failover unless this is the
+     * group's first leader, and cancels the attempts in flight at other endpoints unless the failover was planned.
      */
     private void beginTerm(GroupState group, long now, FailoverActions actions) {
         Leadership leadership = group.leadership();
@@ -113,7 +113,10 @@
         return Math.min(routing.limits().maxRetryAfter(), Math.max(MIN_RETRY_AFTER_MICROS, delay));
     }
 
-    /** Releases requests: one at a time in a leaderless group, otherwise as many as the release window allows. */
+    /**
+     * Releases buffered requests. While the group is leaderless, a request is released only if no released request is
+     * open; otherwise the release window limits the number of open released requests.
+     */
     private void releaseBuffered(GroupState group, boolean leaderless, long now, FailoverActions actions) {
         while (group.buffer().size() > 0 && mayRelease(group, leaderless)) {
             TrackedRequest request = requests.find(group.buffer().first().requestId());
--- a/src/main/java/crankwick/failover/KeyWindows.java
+++ b/src/main/java/crankwick/failover/KeyWindows.java
@@ -19,7 +19,7 @@
         return registry.hash(groupId, idempotencyKey);
     }
 
-    /** Looks up since when the key of a request may have executed, and stores that time in the request. */
+    /** Looks up the send time of the key's first attempt that may have executed, and stores it in the request. */
     void lookUpKey(TrackedRequest request, long now) {
         request.setMayHaveExecutedSince(registry.mayHaveExecutedSince(request.keyHash(), now));
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Returns the number of keys in the registry. */
+    /** Returns the number of idempotency keys in the key registry. */
     int size() {
         return registry.size();
     }
--- a/src/main/java/crankwick/failover/Leadership.java
+++ b/src/main/java/crankwick/failover/Leadership.java
@@ -233,16 +233,15 @@
     }
 
     /**
-     * Returns the time in microseconds since which the group is, or last was, leaderless, as estimated by this
-     * proxy.
+     * Returns the time in microseconds at which the group last became leaderless, as estimated by this proxy.
      */
     public long leaderlessSince() {
         return leaderlessSince;
     }
 
     /**
-     * Returns true if the current or last failover began because the endpoint list had the leader as draining or
-     * removed.
+     * Returns true if the failover in progress, or the last completed failover if there is none in progress, began
+     * because the endpoint list showed the leader as draining or removed.
      */
     public boolean isFailoverPlanned() {
         return planned;
--- a/src/main/java/crankwick/failover/LeadershipEvidence.java
+++ b/src/main/java/crankwick/failover/LeadershipEvidence.java
@@ -19,17 +19,17 @@
     /** A connection was refused immediately, so the database process is down. */
     record ConnectionRefused(String endpointId) implements LeadershipEvidence {}
 
-    /** A connection was lost with a request in flight. */
+    /** A connection was lost before a request was completely sent, or before its reply was received. */
     record ConnectionLost(String endpointId) implements LeadershipEvidence {}
 
-    /** A request sent at {@code asOf} was not answered before its timeout. */
+    /** A request sent at {@code asOf} got no reply, or no connection was established, within the timeout. */
     record Unresponsive(String endpointId, long asOf) implements LeadershipEvidence {}
 
-    /** The endpoint list has the endpoint as draining or removed, or a full list does not contain it. */
+    /** The endpoint list shows the endpoint as draining or removed, or a full list does not contain it. */
     record Delisted(String endpointId) implements LeadershipEvidence {}
 
     /**
-     * The endpoint list has the endpoint as up; after {@link Delisted}, it leads again only when it claims the
+     * The endpoint list shows the endpoint as up; after {@link Delisted}, it leads again only when it claims the
      * role.
      */
     record ListedAsUp(String endpointId) implements LeadershipEvidence {}
--- a/src/main/java/crankwick/model/Leadership.java
+++ b/src/main/java/crankwick/model/Leadership.java
@@ -77,7 +77,7 @@
         epoch++;
     }
 
-    /** Time of the last heartbeat, up to which replicas know of every committed write; in microseconds. */
+    /** Time of the leader's last heartbeat in microseconds; replicas know of every write committed before it. */
     long lastHeartbeatAt() {
         return lastHeartbeatAt;
     }
--- a/src/main/java/crankwick/routing/ClientRetryDetector.java
+++ b/src/main/java/crankwick/routing/ClientRetryDetector.java
@@ -24,7 +24,10 @@
         }
     }
 
-    /** Records the timeout of the request and returns the estimated time at which its first attempt was sent. */
+    /**
+     * Returns the estimated time at which the client sent its first attempt of the request. Unless the timeout of the
+     * request is short, also adds it to the estimate of the first-attempt timeout of the class.
+     */
     long firstSentAt(RoutingRequest request, RequestClass requestClass, long now) {
         long timeout = request.expiresAt() - now;
         if (timeout < SHORT_TIMEOUT_FRACTION * requestClass.latencyObjective()) {
--- a/src/main/java/crankwick/routing/EndpointObserver.java
+++ b/src/main/java/crankwick/routing/EndpointObserver.java
@@ -200,7 +200,8 @@
 
     private static void logIfEjected(EndpointState endpoint, boolean ejected, RoutingActions actions) {
         if (ejected) {
-            actions.log(endpoint.id() + " ejected: failure rate above 50%, only trials until one succeeds");
+            actions.log(endpoint.id()
+                    + " ejected: failure rate above the ejection threshold, only trial attempts until one succeeds");
         }
     }
 }
--- a/src/main/java/crankwick/routing/ReportedLoad.java
+++ b/src/main/java/crankwick/routing/ReportedLoad.java
@@ -11,7 +11,7 @@
     private static final long RECENT_REPORT_MICROS = 300 * MICROS_PER_MILLI;
     /** The effect of a report on the expected latency decays linearly to zero over this time. */
     private static final long REPORT_DECAY_MICROS = MICROS_PER_SECOND;
-    /** Number of requests that an endpoint executes in parallel. */
+    /** Number of requests that an endpoint is assumed to execute in parallel at most. */
     private static final double ASSUMED_PARALLEL_REQUESTS = 3;
     /** Latency added by each queued request, in typical durations. */
     private static final double LATENCY_PER_QUEUED_REQUEST = 2.5 / ASSUMED_PARALLEL_REQUESTS;
--- a/src/main/java/crankwick/routing/RetryPolicy.java
+++ b/src/main/java/crankwick/routing/RetryPolicy.java
@@ -58,7 +58,10 @@
         return limits.cancellationAllowed() && mayRetry(request, now) && balance >= 1;
     }
 
-    /** Withdraws a retry from the budget after an attempt with this result; returns false if no retry is allowed. */
+    /**
+     * Returns whether the request may be retried now, after an attempt with this result, and if so takes the retry
+     * from the budget. Results that are exempt from the budget take nothing.
+     */
     boolean tryAcquireRetry(PendingRequest request, AttemptResult result, long now) {
         int cost = isExemptFromBudget(result) ? 0 : 1;
         if (!mayRetry(request, now) || balance < cost) {
--- a/src/test/java/crankwick/routing/PrimaryTest.java
+++ b/src/test/java/crankwick/routing/PrimaryTest.java
@@ -68,7 +68,8 @@
                 harness.endAttempt(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(harness.actions.contains("log p ejected: failure rate above 50%, only trials until one succeeds"));
+        assertTrue(harness.actions.contains(
+                "log p ejected: failure rate above the ejection threshold, only trial attempts until one succeeds"));
         long queued = harness.request(RouterTestHarness.WRITE);
         assertNull(harness.sentTo(queued));
         harness.autoRespondToHealthChecks("p", Role.PRIMARY);
@@ -88,7 +89,8 @@
                 harness.endAttempt(write, AttemptResult.ERROR, Role.PRIMARY, AbsentValue.NONE);
             }
         }
-        assertTrue(harness.actions.contains("log p ejected: failure rate above 50%, only trials until one succeeds"));
+        assertTrue(harness.actions.contains(
+                "log p ejected: failure rate above the ejection threshold, only trial attempts until one succeeds"));
         harness.advance(MICROS_PER_MILLI);
         harness.updateEndpoint("p", EndpointStatus.LIVE, harness.now - 20_000 * MICROS_PER_MILLI);
         harness.reportHealth("p", Role.PRIMARY, harness.now);
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -285,7 +285,8 @@
                 harness.endAttempt(id, AttemptResult.ERROR, Role.REPLICA, AbsentValue.NONE);
             }
         }
-        assertTrue(harness.actions.contains("log r1 ejected: failure rate above 50%, only trials until one succeeds"));
+        assertTrue(harness.actions.contains(
+                "log r1 ejected: failure rate above the ejection threshold, only trial attempts until one succeeds"));
         harness.succeed(sentBeforeEjection);
         assertFalse(harness.actions.contains("log r1 readmitted: attempt succeeded"));
         harness.advance(600 * MICROS_PER_MILLI);
