--- a/src/main/java/crankwick/app/Commands.java
+++ b/src/main/java/crankwick/app/Commands.java
@@ -13,7 +13,7 @@
         description = "A broker between services and groups of replicated databases.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class,
-        subcommands = {ServeCommand.class, SimhostCommand.class, LabCommand.class, EmulateCommand.class})
+        subcommands = {ServeCommand.class, SimhostCommand.class, SimulationCommand.class, EmulateCommand.class})
 final class Commands implements Runnable {
     @Spec
     private CommandSpec spec;
--- a/src/main/java/crankwick/app/LabDrainsCommand.java
+++ b/src/main/java/crankwick/app/DrainSimulationCommand.java
@@ -17,7 +17,7 @@
                 + "unavailable, and checks that every proxy is notified of each drain in time. Exit code 1 if not.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class)
-final class LabDrainsCommand implements Callable<Integer> {
+final class DrainSimulationCommand implements Callable<Integer> {
     private static final int MAX_PROXIES = 1_024;
     private static final int MAX_ROUNDS = 10_000;
     private static final int MAX_DELAY_MILLIS = 60_000;
--- a/src/main/java/crankwick/app/EmulateCommand.java
+++ b/src/main/java/crankwick/app/EmulateCommand.java
@@ -26,7 +26,7 @@
         versionProvider = Commands.Version.class)
 final class EmulateCommand implements Callable<Integer> {
     private static final int MAX_GROUPS = 50;
-    private static final int MAX_FAILOVERS = 10_000;
+    private static final int MAX_FAULTS = 10_000;
     private static final int MIN_INTERVAL_MILLIS = 100;
     private static final int MAX_INTERVAL_MILLIS = 3_600_000;
     private static final int MAX_DURATION_SECONDS = 86_400;
@@ -44,7 +44,7 @@
             names = "--changes",
             defaultValue = "0",
             description = "Number of faults of primaries, 0 to 10000; default ${DEFAULT-VALUE}.")
-    private int failovers;
+    private int faults;
 
     @Option(
             names = "--every-ms",
@@ -82,7 +82,7 @@
     public Integer call() throws IOException, InterruptedException {
         Commands.require(spec, protocol.equals("pg") || protocol.equals("tds"), "--wire takes pg or tds");
         Commands.requireRange(spec, "--groups", groups, 1, MAX_GROUPS);
-        Commands.requireRange(spec, "--changes", failovers, 0, MAX_FAILOVERS);
+        Commands.requireRange(spec, "--changes", faults, 0, MAX_FAULTS);
         Commands.requireRange(spec, "--every-ms", intervalMillis, MIN_INTERVAL_MILLIS, MAX_INTERVAL_MILLIS);
         Commands.requireRange(spec, "--seconds", durationSeconds, 1, MAX_DURATION_SECONDS);
         CodecFilter codec = protocol.equals("pg") ? new PgEmulatorCodec() : new TdsEmulatorCodec();
@@ -92,7 +92,7 @@
             out.println("discovery at 127.0.0.1:" + emulator.discoveryPort());
             out.println(emulator.endpointsJson());
             out.flush();
-            emulator.scheduleFaults(failovers, TimeUnit.MILLISECONDS.toMicros(intervalMillis));
+            emulator.scheduleFaults(faults, TimeUnit.MILLISECONDS.toMicros(intervalMillis));
             TimeUnit.SECONDS.sleep(durationSeconds);
             out.println(new Gson().toJson(emulator.executionLog().statistics()));
             out.flush();
--- a/src/main/java/crankwick/app/LabHandoverCommand.java
+++ b/src/main/java/crankwick/app/FailoverSimulationCommand.java
@@ -20,7 +20,7 @@
                 + "Prints the first violation with its trace; exit code 1 on any violation.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class)
-final class LabHandoverCommand implements Callable<Integer> {
+final class FailoverSimulationCommand implements Callable<Integer> {
     private static final int MAX_GROUPS = 1_000;
     private static final int MAX_FAILOVERS = 1_000_000;
 
--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -47,7 +47,7 @@
     private static final long SIGNAL_AND_EXIT_MICROS = 350_000;
 
     /** Margin between the last replies and the shutdown deadline; covers delays of the event loop. */
-    private static final long LAST_REPLIES_BEFORE_END_MICROS = 150_000;
+    private static final long LAST_REPLY_MARGIN_MICROS = 150_000;
 
     /** Fractions of the socket limit; the rest is reserved for discovery, files and the transport. */
     private static final double CLIENT_SOCKET_FRACTION = 0.42;
@@ -160,7 +160,7 @@
                 broker.outstandingRequests(),
                 allCounters()));
         loop.schedule(Math.min(ACCEPT_AFTER_SIGTERM_MICROS, shutdownTimeoutMicros() / 2), () -> {
-            listener.beginShutdown(shutdownDeadline - LAST_REPLIES_BEFORE_END_MICROS);
+            listener.beginShutdown(shutdownDeadline - LAST_REPLY_MARGIN_MICROS);
             awaitDrained(shutdownDeadline);
         });
     }
@@ -168,7 +168,7 @@
     /** Waits until all requests are answered or the shutdown deadline has passed. */
     void awaitClosed() {
         try {
-            closed.await(shutdownTimeoutMicros() + LAST_REPLIES_BEFORE_END_MICROS, TimeUnit.MICROSECONDS);
+            closed.await(shutdownTimeoutMicros() + LAST_REPLY_MARGIN_MICROS, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/crankwick/app/LabCommand.java
+++ b/src/main/java/crankwick/app/SimulationCommand.java
@@ -11,8 +11,8 @@
         description = "Runs deterministic simulations.",
         mixinStandardHelpOptions = true,
         versionProvider = Commands.Version.class,
-        subcommands = {LabHandoverCommand.class, LabDrainsCommand.class})
-final class LabCommand implements Runnable {
+        subcommands = {FailoverSimulationCommand.class, DrainSimulationCommand.class})
+final class SimulationCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -33,13 +33,13 @@
     private static final long MAX_RESTART_DELAY_MICROS = 6_000_000;
     private static final long RESTART_RETRY_MICROS = 500_000;
     /** The delay until the endpoint list shows a fault. */
-    private static final long MIN_FAULT_LISTING_DELAY_MICROS = 20_000;
+    private static final long MIN_FAULT_LIST_UPDATE_DELAY_MICROS = 20_000;
 
-    private static final long MAX_FAULT_LISTING_DELAY_MICROS = 300_000;
+    private static final long MAX_FAULT_LIST_UPDATE_DELAY_MICROS = 300_000;
     /** The delay until the endpoint list shows a new leader. */
-    private static final long MIN_LEADER_LISTING_DELAY_MICROS = 2_800_000;
+    private static final long MIN_LEADER_LIST_UPDATE_DELAY_MICROS = 2_800_000;
 
-    private static final long MAX_LEADER_LISTING_DELAY_MICROS = 4_900_000;
+    private static final long MAX_LEADER_LIST_UPDATE_DELAY_MICROS = 4_900_000;
 
     private final CodecFilter codec;
     private final EmulatedEndpointList endpointList;
@@ -132,7 +132,8 @@
         }
         endpointList.update(group.endpoints());
         loop.schedule(
-                random.nextLong(MIN_FAULT_LISTING_DELAY_MICROS, MAX_FAULT_LISTING_DELAY_MICROS), endpointList::publish);
+                random.nextLong(MIN_FAULT_LIST_UPDATE_DELAY_MICROS, MAX_FAULT_LIST_UPDATE_DELAY_MICROS),
+                endpointList::publish);
     }
 
     /** Closes the port of a member that is down or was restarted, and reopens it if the member accepts connections. */
@@ -206,7 +207,7 @@
                 leader != group.lastLeader(),
                 clock.now() < group.model().startedAt(leader) + settings.warmUpMicros());
         group.setLastLeader(leader);
-        loop.schedule(random.nextLong(MIN_LEADER_LISTING_DELAY_MICROS, MAX_LEADER_LISTING_DELAY_MICROS), () -> {
+        loop.schedule(random.nextLong(MIN_LEADER_LIST_UPDATE_DELAY_MICROS, MAX_LEADER_LIST_UPDATE_DELAY_MICROS), () -> {
             endpointList.update(group.endpointsWithPrimary(leader));
             endpointList.publish();
         });
--- a/src/main/java/crankwick/emulator/EmulatedEndpointList.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpointList.java
@@ -19,7 +19,7 @@
 
 /** Publishes the endpoints of emulated databases to proxies: over HTTP as discovery does, and in a zone file. */
 public final class EmulatedEndpointList implements AutoCloseable {
-    private static final long MAX_HOLD_MILLIS = 60_000;
+    private static final long MAX_LONG_POLL_TIMEOUT_MILLIS = 60_000;
     private static final long RECHECK_MILLIS = 100;
 
     private final Map<String, EmulatedEndpoint> pending = new LinkedHashMap<>();
@@ -102,16 +102,16 @@
     private void handleRequest(HttpExchange exchange) throws IOException {
         String query = exchange.getRequestURI().getQuery();
         long knownVersion = query == null ? -1 : Long.parseLong(query.replaceAll("from=(\\d+).*", "$1"));
-        long holdMillis = query == null ? 0 : Long.parseLong(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
-        byte[] body = awaitVersionAfter(knownVersion, holdMillis).getBytes(StandardCharsets.UTF_8);
+        long longPollTimeoutMillis = query == null ? 0 : Long.parseLong(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
+        byte[] body = awaitVersionAfter(knownVersion, longPollTimeoutMillis).getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(HttpURLConnection.HTTP_OK, body.length);
         exchange.getResponseBody().write(body);
         exchange.close();
     }
 
     /** Waits until the list is newer than {@code knownVersion} or the hold has expired, and returns the list. */
-    private synchronized String awaitVersionAfter(long knownVersion, long holdMillis) {
-        long deadline = System.currentTimeMillis() + Math.min(MAX_HOLD_MILLIS, holdMillis);
+    private synchronized String awaitVersionAfter(long knownVersion, long longPollTimeoutMillis) {
+        long deadline = System.currentTimeMillis() + Math.min(MAX_LONG_POLL_TIMEOUT_MILLIS, longPollTimeoutMillis);
         while (knownVersion >= version && System.currentTimeMillis() < deadline) {
             try {
                 wait(RECHECK_MILLIS);
--- a/src/main/java/crankwick/simulation/AuditSummary.java
+++ b/src/main/java/crankwick/simulation/AuditSummary.java
@@ -11,7 +11,7 @@
  * @param violations counts by kind; kinds without a violation may be absent
  * @param failoversBeforeViolation failovers before the first violation; -1 without a violation
  * @param rejectedWrites rejected writes
- * @param meanRejectionWaitMillis mean time from receipt to rejection of these writes
+ * @param meanRejectionLatencyMillis mean time from receipt to rejection of these writes
  * @param reasons counts of rejected and failed requests by reason
  */
 record AuditSummary(
@@ -24,7 +24,7 @@
         long rejected,
         long failed,
         long rejectedWrites,
-        long meanRejectionWaitMillis,
+        long meanRejectionLatencyMillis,
         Map<Reply.Reason, Long> reasons) {
     long count(Violation violation) {
         return violations.getOrDefault(violation, 0L);
--- a/src/main/java/crankwick/simulation/FailoverAudit.java
+++ b/src/main/java/crankwick/simulation/FailoverAudit.java
@@ -54,7 +54,7 @@
     private long rejected;
     private long failed;
     private long rejectedWrites;
-    private long rejectionWaitMicros;
+    private long totalRejectionLatencyMicros;
 
     FailoverAudit(int groups, Limits limits) {
         this.limits = limits;
@@ -137,7 +137,7 @@
         if (!request.isWrite()) {
             return;
         }
-        rejectionWaitMicros += now - request.receivedAt();
+        totalRejectionLatencyMicros += now - request.receivedAt();
         rejectedWrites++;
         if (request.mayHaveExecuted()) {
             violations.add(
@@ -393,7 +393,7 @@
                 rejected,
                 failed,
                 rejectedWrites,
-                rejectedWrites == 0 ? 0 : rejectionWaitMicros / rejectedWrites / MILLIS,
+                rejectedWrites == 0 ? 0 : totalRejectionLatencyMicros / rejectedWrites / MILLIS,
                 reasons);
     }
 }
--- a/src/main/java/crankwick/simulation/FailoverReport.java
+++ b/src/main/java/crankwick/simulation/FailoverReport.java
@@ -82,7 +82,7 @@
         figures.put("refused", audit.rejected());
         figures.put("failed", audit.failed());
         figures.put("refused_writes", audit.rejectedWrites());
-        figures.put("mean_wait_of_refused_writes_ms", audit.meanRejectionWaitMillis());
+        figures.put("mean_wait_of_refused_writes_ms", audit.meanRejectionLatencyMillis());
         Map<String, Long> reasons = new TreeMap<>();
         audit.reasons().forEach((reason, count) -> reasons.put(reason.name().toLowerCase(Locale.ROOT), count));
         figures.put("reasons", reasons);
--- a/src/test/java/crankwick/simulation/FailoverSimulationTest.java
+++ b/src/test/java/crankwick/simulation/FailoverSimulationTest.java
@@ -91,9 +91,9 @@
     @Test
     public void bufferingServesMoreWritesAndRejectsSooner() {
         assertTrue(mean(true, this::servedShare) > mean(false, this::servedShare));
-        ToDoubleFunction<FailoverReport> rejectionWait =
-                report -> report.audit().meanRejectionWaitMillis();
-        assertTrue(mean(true, rejectionWait) < mean(false, rejectionWait));
+        ToDoubleFunction<FailoverReport> meanRejectionLatency =
+                report -> report.audit().meanRejectionLatencyMillis();
+        assertTrue(mean(true, meanRejectionLatency) < mean(false, meanRejectionLatency));
     }
 
     private double servedShare(FailoverReport report) {
