--- a/src/main/java/crankwick/app/EmulateCommand.java
+++ b/src/main/java/crankwick/app/EmulateCommand.java
@@ -43,7 +43,8 @@
     @Option(
             names = "--changes",
             defaultValue = "0",
-            description = "Number of faults of primaries, 0 to 10000; default ${DEFAULT-VALUE}.")
+            description = "Total number of crashes, hangs and drains of primaries, 0 to 10000; "
+                    + "default ${DEFAULT-VALUE}.")
     private int faults;
 
     @Option(
--- a/src/main/java/crankwick/app/PlatformConfig.java
+++ b/src/main/java/crankwick/app/PlatformConfig.java
@@ -29,7 +29,7 @@
         Discovery.ListUpdate initialEndpoints) {
     private static final int SEED_RADIX = 16;
 
-    /** Reads the file; throws an IllegalArgumentException with the invalid key. */
+    /** Reads the file; throws an IllegalArgumentException that names the key whose value is missing or invalid. */
     static PlatformConfig read(Path file) throws IOException {
         String text = Files.readString(file);
         String key = "config";
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -32,11 +32,11 @@
     private static final long MIN_RESTART_DELAY_MICROS = 600_000;
     private static final long MAX_RESTART_DELAY_MICROS = 6_000_000;
     private static final long RESTART_RETRY_MICROS = 500_000;
-    /** The delay until the endpoint list shows a fault. */
+    /** The range of the delay from a fault to the publication of the updated endpoint list. */
     private static final long MIN_FAULT_LIST_UPDATE_DELAY_MICROS = 20_000;
 
     private static final long MAX_FAULT_LIST_UPDATE_DELAY_MICROS = 300_000;
-    /** The delay until the endpoint list shows a new leader. */
+    /** The range of the delay from an election to the publication of the new leader in the endpoint list. */
     private static final long MIN_LEADER_LIST_UPDATE_DELAY_MICROS = 2_800_000;
 
     private static final long MAX_LEADER_LIST_UPDATE_DELAY_MICROS = 4_900_000;
--- a/src/main/java/crankwick/emulator/EmulatedEndpointList.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpointList.java
@@ -109,7 +109,7 @@
         exchange.close();
     }
 
-    /** Waits until the list is newer than {@code knownVersion} or the hold has expired, and returns the list. */
+    /** Waits until the list is newer than {@code knownVersion} or the long poll times out, and returns the list. */
     private synchronized String awaitVersionAfter(long knownVersion, long longPollTimeoutMillis) {
         long deadline = System.currentTimeMillis() + Math.min(MAX_LONG_POLL_TIMEOUT_MILLIS, longPollTimeoutMillis);
         while (knownVersion >= version && System.currentTimeMillis() < deadline) {
--- a/src/main/java/crankwick/simulation/FaultSchedule.java
+++ b/src/main/java/crankwick/simulation/FaultSchedule.java
@@ -13,7 +13,10 @@
     private static final long MIN_FAULT_INTERVAL_MICROS = 300 * MILLIS;
     private static final double MEAN_ADDED_INTERVAL_MICROS = 8.0 * SECONDS;
     private static final long RESTART_RETRY_MICROS = 500 * MILLIS;
-    /** Upper limits of a percent draw: the leader drains, crashes or hangs; above the last, a replica crashes. */
+    /**
+     * Exclusive upper limits of a random percentage for each fault: the leader drains, crashes or hangs; from the last
+     * limit up, a replica crashes.
+     */
     private static final int DRAIN_DRAW_LIMIT = 30;
 
     private static final int CRASH_DRAW_LIMIT = 65;
--- a/src/main/java/crankwick/simulation/ModelNetwork.java
+++ b/src/main/java/crankwick/simulation/ModelNetwork.java
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Ends an attempt if nothing of it has been written. */
+    /** Cancels an attempt that has not been written to a member. */
     void cancelQueued(long requestId) {
         NetworkExchange exchange = attempts.get(requestId);
         if (exchange != null && !exchange.isWritten()) {
--- a/src/main/java/crankwick/simulation/Reachability.java
+++ b/src/main/java/crankwick/simulation/Reachability.java
@@ -2,6 +2,7 @@
 
 /** Whether a write affected by a failover could have been served, and the kind of the failover. */
 enum Reachability {
+    /** The write is not counted as reachable: not yet classified, not reachable, or counted already. */
     UNKNOWN("unknown"),
     UNPLANNED("unplanned"),
     PLANNED("planned"),
--- a/src/main/java/crankwick/simulation/SimulatedClients.java
+++ b/src/main/java/crankwick/simulation/SimulatedClients.java
@@ -24,7 +24,7 @@
     private static final long MIN_RETRY_DELAY_MICROS = 10 * MILLIS;
     /** Percentage of clients that retry a failed write although it may have been executed. */
     private static final int UNSAFE_RETRY_PERCENT = 50;
-    /** How long before the end of a key's TTL its client gives up after the proxy process ended during a request. */
+    /** After a proxy process ended during a request, the client stops retrying this long before the key's TTL ends. */
     private static final long KEY_MARGIN_MICROS = 100 * MILLIS;
 
     /** A client's operation with all its retries; {@code unsafeRetry} is set when a failed write is retried. */
--- a/src/main/java/crankwick/simulation/SimulatedProxy.java
+++ b/src/main/java/crankwick/simulation/SimulatedProxy.java
@@ -106,7 +106,7 @@
         });
     }
 
-    /** Log lines of the broker start with "group N" or with an endpoint id; 0 if neither matches. */
+    /** Returns the group of a broker log line that starts with "group N" or with an endpoint id; 0 for other lines. */
     private static int groupOfLogLine(String line) {
         int from = line.startsWith("group ") ? "group ".length() : 1;
         int to = from;
--- a/src/main/java/crankwick/simulator/LineReader.java
+++ b/src/main/java/crankwick/simulator/LineReader.java
@@ -121,14 +121,14 @@
 
     private int skipToken() {
         if (position >= lineEnd) {
-            throw malformed("a part is missing");
+            throw malformed("missing token");
         }
         int to = position;
         while (to < lineEnd && buffer[to] != ' ') {
             to++;
         }
         if (to == position) {
-            throw malformed("an empty part");
+            throw malformed("empty token");
         }
         position = Math.min(to + 1, lineEnd);
         return to;
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -18,7 +18,7 @@
  */
 public final class TdsDatabaseCodec extends CodecFilter {
     private static final String USER = "crankwick";
-    /** The length of LOGIN7's fixed part. Its pairs of offset and length end at byte 72; the second is the user's. */
+    /** The length of LOGIN7's fixed part. Its offset and length pairs end at byte 72; the second is the user name's. */
     private static final int LOGIN_FIXED_BYTES = 94;
 
     private static final int LOGIN_PAIRS = 9;
