--- a/src/main/java/crankwick/tds/TdsWriter.java
+++ b/src/main/java/crankwick/tds/TdsWriter.java
@@ -41,12 +41,12 @@
         return bytes(value.getBytes(StandardCharsets.UTF_16LE));
     }
 
-    /** Appends text in UTF-16 after its length in characters, one byte. */
+    /** Appends the length of the text in characters, as one byte, and the text in UTF-16. */
     TdsWriter shortText(String value) {
         return int8(value.length()).text(value);
     }
 
-    /** Appends a token: its type, the length of its body, two bytes, and the body. */
+    /** Appends a token: its type, the length of its body as two bytes, and the body. */
     TdsWriter token(int type, TdsWriter body) {
         byte[] bytes = body.out.toByteArray();
         return int8(type).int16(bytes.length).bytes(bytes);
