--- a/src/test/java/crankwick/app/BothWiresFixture.java
+++ b/src/test/java/crankwick/app/BothWiresFixture.java
@@ -15,9 +15,9 @@
         return new Object[][] {{new PgTestClient()}, {new TdsTestClient()}};
     }
 
-    final String statement(String className, int deadlineMs, String extraHints) {
+    final String statement(String className, int deadlineMillis, String extraHints) {
         String key = className.equals("reserve") ? ",k=5c0f6e1a2b3d" + (lastId + 1) : "";
-        return "/* id=" + ++lastId + ",c=" + className + ",d=" + deadlineMs + key + ",cluster=0" + extraHints
+        return "/* id=" + ++lastId + ",c=" + className + ",d=" + deadlineMillis + key + ",cluster=0" + extraHints
                 + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
     }
 
--- a/src/test/java/crankwick/app/ClientDisconnectIT.java
+++ b/src/test/java/crankwick/app/ClientDisconnectIT.java
@@ -18,10 +18,10 @@
     private static final int LARGE_PADDING_CHARS = 80_000;
     private static final int MEDIUM_PADDING_CHARS = 40_000;
     private static final int MANY_COMMANDS = 1_100;
-    private static final int ATTEMPT_DURATION_MS = 300;
-    private static final int DISCONNECT_DELAY_MS = 100;
-    private static final long ATTEMPT_ARRIVAL_TIMEOUT_MS = 2_000;
-    private static final int OBSERVATION_MS = 800;
+    private static final int ATTEMPT_DURATION_MILLIS = 300;
+    private static final int DISCONNECT_DELAY_MILLIS = 100;
+    private static final long ATTEMPT_ARRIVAL_TIMEOUT_MILLIS = 2_000;
+    private static final int OBSERVATION_MILLIS = 800;
 
     /** What a client has sent before it disconnects: first one keyed write, then the commands named here. */
     private enum SentCommands {
@@ -60,13 +60,13 @@
             TestWireClient wire, SentCommands sent, DisconnectMode mode) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.delayMs = ATTEMPT_DURATION_MS);
+            d.databases.forEach(database -> database.delayMillis = ATTEMPT_DURATION_MILLIS);
             d.databases.forEach(database -> database.replyKind = "DISCONNECT");
             String write = send(client, sent);
-            Thread.sleep(DISCONNECT_DELAY_MS);
+            Thread.sleep(DISCONNECT_DELAY_MILLIS);
             awaitAttempt(d, write);
             disconnect(wire, client, mode);
-            Thread.sleep(OBSERVATION_MS);
+            Thread.sleep(OBSERVATION_MILLIS);
             assertEquals(d.attemptLog.countAttempts(write), 1, d.log.toString());
             assertNoViolations(d);
         }
@@ -74,7 +74,7 @@
 
     /** Waits for the first attempt, late on a busy machine: no attempt is sent if the client disconnects earlier. */
     private static void awaitAttempt(Deployment d, String write) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ATTEMPT_ARRIVAL_TIMEOUT_MS);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ATTEMPT_ARRIVAL_TIMEOUT_MILLIS);
         while (d.attemptLog.countAttempts(write) == 0 && System.nanoTime() < deadline) {
             Thread.sleep(1);
         }
@@ -117,7 +117,7 @@
     public void partialCommandBehindALargeOneIsNotStalled(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.primary().delayMs = 2_800;
+            d.primary().delayMillis = 2_800;
             client.send(statement("reserve", 5_000, "") + "x".repeat(LARGE_PADDING_CHARS));
             String first = lastId();
             byte[] second = wire.encodeCommand(statement("map-view", 5_000, ""), 0);
--- a/src/test/java/crankwick/app/ClientListenerIT.java
+++ b/src/test/java/crankwick/app/ClientListenerIT.java
@@ -21,10 +21,10 @@
 
     /** Guards against replies out of order: the write is slow, the read pipelined behind it is fast. */
     @Test
-    public void pgRepliesKeepTheOrderOfTheCommands() throws Exception {
+    public void pgRepliesAreSentInCommandOrder() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            d.primary().delayMs = 300;
+            d.primary().delayMillis = 300;
             client.send(statement("1", "reserve"));
             client.send(statement("2", "map-view"));
             client.send("");
@@ -66,7 +66,7 @@
                 Deployment.Client collectors = d.client()) {
             assertThrows(EOFException.class, () -> d.new Client("strangers"));
             assertEquals(reports.execute(statement("1", "reserve")).code(), "50203");
-            d.databases.forEach(database -> database.delayMs = 3_000);
+            d.databases.forEach(database -> database.delayMillis = 3_000);
             reports.send(statement("2", "map-view"));
             more.send(statement("3", "map-view"));
             Thread.sleep(100);
@@ -78,7 +78,7 @@
             assertTrue(reports.readAnswer().kind().matches("REFUSED|FAILED"));
             assertTrue(more.readAnswer().kind().matches("REFUSED|FAILED"));
             assertTrue(System.nanoTime() - start < 1_500_000_000L);
-            d.databases.forEach(database -> database.delayMs = 0);
+            d.databases.forEach(database -> database.delayMillis = 0);
             TestWireClient.Answer last = null;
             for (int i = 5; i < 60 && (last == null || !last.code().equals("50102")); i++) {
                 last = third.execute(statement("" + i, "map-view"));
@@ -95,7 +95,7 @@
         TdsTestClient wire = new TdsTestClient();
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.primary().delayMs = 500;
+            d.primary().delayMillis = 500;
             client.send(statement("1", "reserve"));
             Thread.sleep(100);
             wire.sendAttention(client.socket);
--- a/src/test/java/crankwick/app/ClientsIT.java
+++ b/src/test/java/crankwick/app/ClientsIT.java
@@ -100,7 +100,7 @@
     public void oversizedCommandFailsAfterEarlierReplies(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.primary().delayMs = 300;
+            d.primary().delayMillis = 300;
             client.send(statement("reserve", 3000, ""));
             String before = lastId();
             client.socket.getOutputStream().write(wire.encodeCommand("x".repeat(4 << 20), 0));
@@ -138,7 +138,7 @@
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client();
                 Deployment.Client other = d.client()) {
-            d.primary().delayMs = 400;
+            d.primary().delayMillis = 400;
             String statement = statement("reserve", 3000, "");
             client.send(statement);
             Thread.sleep(100);
@@ -162,7 +162,7 @@
     public void clientDisconnectDoesNotAffectOtherClients(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.delayMs = 400);
+            d.databases.forEach(database -> database.delayMillis = 400);
             try (Deployment.Client disconnectingClient = d.client()) {
                 disconnectingClient.send(statement("reserve", 3000, ""));
                 Thread.sleep(100);
@@ -176,7 +176,7 @@
     @Test(dataProvider = "wires")
     public void noAttemptStartsForADisconnectedClient(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0")) {
-            d.databases.forEach(database -> database.greetingDelayMs = 1_000);
+            d.databases.forEach(database -> database.greetingDelayMillis = 1_000);
             for (String className : List.of("reserve", "map-view")) {
                 try (Deployment.Client disconnectingClient = d.client()) {
                     disconnectingClient.send(statement(className, 3000, ""));
@@ -218,7 +218,7 @@
         try (Deployment d = new Deployment(wire);
                 Deployment.Client idle = d.client();
                 Deployment.Client late = d.client()) {
-            d.primary().delayMs = 1_200;
+            d.primary().delayMillis = 1_200;
             List<Deployment.Client> clients = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 clients.add(d.client());
--- a/src/test/java/crankwick/app/CommandsIT.java
+++ b/src/test/java/crankwick/app/CommandsIT.java
@@ -80,7 +80,7 @@
     }
 
     @Test
-    public void lastLineOfTheLabHoldsTheFigures() throws Exception {
+    public void lastSimulationOutputLineContainsTheFigures() throws Exception {
         Run run = run("lab", "handover", "--groups", "2", "--failovers", "10", "--seed", "5", "--json");
         assertEquals(run.status(), 0, run.toString());
         JsonObject figures =
--- a/src/test/java/crankwick/app/ConnectionRaceTest.java
+++ b/src/test/java/crankwick/app/ConnectionRaceTest.java
@@ -13,18 +13,18 @@
  * events by pausing the event loop or by blocking the selector thread.
  */
 public class ConnectionRaceTest {
-    private static final int DEADLINE_MS = 5_000;
-    private static final long TEST_TIMEOUT_MS = 30_000;
+    private static final int DEADLINE_MILLIS = 5_000;
+    private static final long TEST_TIMEOUT_MILLIS = 30_000;
 
     /** Shutdown begins while the event loop still has the connection as idle, but a command has just been read. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandReadAsShutdownBeginsIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
-            proxy.loop.execute(() ->
-                    proxy.clientListener.beginShutdown(proxy.clock.now() + DEADLINE_MS * PausableProxyFixture.MS));
-            client.sendWrite("1", DEADLINE_MS);
+            proxy.loop.execute(() -> proxy.clientListener.beginShutdown(
+                    proxy.clock.now() + DEADLINE_MILLIS * PausableProxyFixture.MICROS_PER_MILLI));
+            client.sendWrite("1", DEADLINE_MILLIS);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
             assertNull(client.readAnswer());
@@ -32,7 +32,7 @@
     }
 
     /** Guards against a request whose deadline is after the shutdown deadline staying open when the proxy exits. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void requestWithDeadlineAfterShutdownIsAnsweredBeforeExit() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
@@ -41,26 +41,26 @@
             while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
-            long shutdownDeadline = proxy.clock.now() + 500 * PausableProxyFixture.MS;
+            long shutdownDeadline = proxy.clock.now() + 500 * PausableProxyFixture.MICROS_PER_MILLI;
             proxy.onLoop(() -> proxy.clientListener.beginShutdown(shutdownDeadline));
             assertEquals(client.readAnswer(), "Failed");
             assertNull(client.readAnswer());
             long overrun = proxy.clock.now() - shutdownDeadline;
             assertTrue(
-                    overrun >= 0 && overrun < 2_000 * PausableProxyFixture.MS,
+                    overrun >= 0 && overrun < 2_000 * PausableProxyFixture.MICROS_PER_MILLI,
                     overrun + " us past the shutdown deadline");
         }
     }
 
     /** The idle timeout of a connection expires when its command has just been read. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandReadAsIdleTimeoutExpiresIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(2);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
             Thread.sleep(2_500);
-            client.sendWrite("1", DEADLINE_MS);
+            client.sendWrite("1", DEADLINE_MILLIS);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
             assertNull(other.readAnswer());
@@ -68,20 +68,20 @@
     }
 
     /** An idle connection is to be evicted in favor of a new one when its command has just been read. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandReadAsItsConnectionIsEvictedIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(1);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
             proxy.awaitSelectorThread();
-            client.sendWrite("1", DEADLINE_MS);
+            client.sendWrite("1", DEADLINE_MILLIS);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
         }
     }
 
     /** Shutdown begins when half of a command has been read: the proxy reads the other half and answers. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void partialCommandReadAsShutdownBeginsIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
@@ -89,8 +89,8 @@
             client.sendPart("/* id=1,c=write,d=5000,k=k1,clus");
             proxy.awaitSelectorThread();
             pause.resume();
-            proxy.onLoop(() ->
-                    proxy.clientListener.beginShutdown(proxy.clock.now() + DEADLINE_MS * PausableProxyFixture.MS));
+            proxy.onLoop(() -> proxy.clientListener.beginShutdown(
+                    proxy.clock.now() + DEADLINE_MILLIS * PausableProxyFixture.MICROS_PER_MILLI));
             client.send("ter=0 */ INSERT");
             assertEquals(client.readAnswer(), "Served primary:1");
             assertNull(client.readAnswer());
@@ -98,7 +98,7 @@
     }
 
     /** The database connection becomes ready before the event loop has processed the client's close. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandIsNotSentAfterItsClientCloses() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
@@ -107,14 +107,14 @@
             PausableProxyFixture.LoopPause beforeClose = proxy.queueLoopPause();
             closingClient.close();
             deliverGreetingBeforeDisconnect(proxy, beforeGreeting, beforeClose);
-            other.sendWrite("2", DEADLINE_MS);
+            other.sendWrite("2", DEADLINE_MILLIS);
             assertEquals(other.readAnswer(), "Served primary:2");
             assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
     /** The database connection becomes ready before the event loop has processed the client's cancel. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandIsNotSentAfterItIsCancelled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
@@ -123,7 +123,7 @@
             client.send(LineProtocolCodec.CANCEL);
             deliverGreetingBeforeDisconnect(proxy, beforeGreeting, beforeCancel);
             assertEquals(client.readAnswer(), "CancelAcknowledged");
-            client.sendWrite("2", DEADLINE_MS);
+            client.sendWrite("2", DEADLINE_MILLIS);
             assertEquals(client.readAnswer(), "Served primary:2");
             assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
@@ -136,7 +136,7 @@
     private static PausableProxyFixture.LoopPause awaitGreetingWithLoopPaused(
             PausableProxyFixture proxy, PausableProxyFixture.Client client) throws Exception {
         proxy.database.greetingLatch = new CountDownLatch(1);
-        client.sendWrite("1", DEADLINE_MS);
+        client.sendWrite("1", DEADLINE_MILLIS);
         while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
@@ -166,13 +166,13 @@
     }
 
     /** The connection for a retry becomes ready after the key window, when databases no longer deduplicate. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void retryIsNotSentAfterItsKeyWindowExpires() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             proxy.database.replyKind = "DISCONNECT";
-            proxy.database.delayMs = 200;
-            client.sendWrite("1", DEADLINE_MS);
+            proxy.database.delayMillis = 200;
+            client.sendWrite("1", DEADLINE_MILLIS);
             while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
@@ -181,7 +181,7 @@
             while (proxy.database.openedConnections.get() == opened) {
                 Thread.sleep(1);
             }
-            Thread.sleep(PausableProxyFixture.KEY_TTL / PausableProxyFixture.MS);
+            Thread.sleep(PausableProxyFixture.KEY_TTL / PausableProxyFixture.MICROS_PER_MILLI);
             proxy.database.replyKind = "VALUE";
             proxy.database.greetingLatch.countDown();
             assertEquals(client.readAnswer(), "Failed");
@@ -190,17 +190,17 @@
     }
 
     /** The deadline sent to a database counts from when the command was read, even if the event loop is delayed. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void eventLoopDelayReducesTheDeadlineSentToTheDatabase() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
-            client.sendWrite("1", DEADLINE_MS);
+            client.sendWrite("1", DEADLINE_MILLIS);
             Thread.sleep(400);
             pause.resume();
             assertEquals(client.readAnswer(), "Served primary:1");
             String sentDeadline = proxy.attemptLog.attempts.get(0).statement().replaceAll(".*,d=(\\d+),.*", "$1");
-            assertTrue(Integer.parseInt(sentDeadline) <= DEADLINE_MS - 400, sentDeadline);
+            assertTrue(Integer.parseInt(sentDeadline) <= DEADLINE_MILLIS - 400, sentDeadline);
         }
     }
 
@@ -208,37 +208,37 @@
      * The client closes while the selector thread is blocked and the write of its command is queued on that thread.
      * The selector thread reads pending input first, and so detects the close before the write.
      */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandIsNotSentIfItsClientClosesWhileSelectorIsBlocked() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            other.sendWrite("1", DEADLINE_MS);
+            other.sendWrite("1", DEADLINE_MILLIS);
             assertEquals(other.readAnswer(), "Served primary:1");
             Thread.sleep(100);
             PausableProxyFixture.Client closingClient = proxy.new Client();
             PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
-            closingClient.sendWrite("2", DEADLINE_MS);
+            closingClient.sendWrite("2", DEADLINE_MILLIS);
             other.send(LineProtocolCodec.BLOCK_SELECTOR);
             closingClient.close();
             Thread.sleep(100);
             pause.resume();
             proxy.onLoop(() -> {});
             proxy.wire.selectorReleased.countDown();
-            other.sendWrite("3", DEADLINE_MS);
+            other.sendWrite("3", DEADLINE_MILLIS);
             assertEquals(other.readAnswer(), "Served primary:3");
             assertEquals(proxy.attemptLog.countAttempts("2"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
     /** Shutdown is to close an idle connection whose command arrived while the selector thread was blocked. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandArrivingWhileSelectorIsBlockedIsAnsweredDuringShutdown() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             other.send(LineProtocolCodec.BLOCK_SELECTOR);
-            proxy.onLoop(() ->
-                    proxy.clientListener.beginShutdown(proxy.clock.now() + DEADLINE_MS * PausableProxyFixture.MS));
+            proxy.onLoop(() -> proxy.clientListener.beginShutdown(
+                    proxy.clock.now() + DEADLINE_MILLIS * PausableProxyFixture.MICROS_PER_MILLI));
             client.sendPart("/* id=1,c=write,d=5000,k=k1,cluster=0 */ INSERT\n");
             Thread.sleep(100);
             proxy.wire.selectorReleased.countDown();
@@ -248,7 +248,7 @@
     }
 
     /** The second half of a command arrives while the selector thread is blocked: the client is not stalled. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandCompletedWhileSelectorIsBlockedIsNotStalled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
@@ -267,13 +267,13 @@
      * The second half of a database's reply arrives while the selector thread is blocked: the attempt does not fail and
      * is not retried.
      */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void responseCompletedWhileSelectorIsBlockedIsNotStalled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             proxy.database.replyKind = "SPLIT";
-            client.sendWrite("1", DEADLINE_MS);
+            client.sendWrite("1", DEADLINE_MILLIS);
             while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
@@ -293,15 +293,16 @@
     }
 
     /** A database's greeting arrives within the connect timeout while the selector thread is blocked. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void greetingReceivedWhileSelectorIsBlockedIsInTime() throws Exception {
-        int timeoutMs = 500;
-        try (PausableProxyFixture proxy = new PausableProxyFixture(10, timeoutMs * PausableProxyFixture.MS);
+        int timeoutMillis = 500;
+        try (PausableProxyFixture proxy =
+                        new PausableProxyFixture(10, timeoutMillis * PausableProxyFixture.MICROS_PER_MILLI);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
             proxy.database.greetingLatch = new CountDownLatch(1);
             PausableProxyFixture.LoopPause pause = sendGreetingWithSelectorBlocked(proxy, client, other);
-            Thread.sleep(2 * timeoutMs);
+            Thread.sleep(2 * timeoutMillis);
             pause.resume();
             Thread.sleep(100);
             proxy.wire.selectorReleased.countDown();
@@ -317,7 +318,7 @@
     private static PausableProxyFixture.LoopPause sendGreetingWithSelectorBlocked(
             PausableProxyFixture proxy, PausableProxyFixture.Client client, PausableProxyFixture.Client other)
             throws Exception {
-        client.sendWrite("1", DEADLINE_MS);
+        client.sendWrite("1", DEADLINE_MILLIS);
         while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
@@ -330,7 +331,7 @@
     }
 
     /** Commands pipelined behind an unanswered one are all answered in order, those over the limit with a rejection. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandsOverTheLimitAreRejectedInOrder() throws Exception {
         int pipelinedCommands = 200_000;
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
@@ -354,31 +355,31 @@
     }
 
     /** A client that closes after pipelining commands over the limit: the close behind them is detected. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void closeBehindCommandsOverTheLimitIsDetected() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
             proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
-            client.sendWrite("1", DEADLINE_MS);
+            client.sendWrite("1", DEADLINE_MILLIS);
             client.sendPart("\n".repeat(200_000));
             client.close();
             long from = System.nanoTime();
             while (proxy.outstandingRequests() > 0) {
                 Thread.sleep(1);
             }
-            assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(DEADLINE_MS / 2));
+            assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(DEADLINE_MILLIS / 2));
             assertTrue(proxy.clientListener.counters().contains(" open_bytes=0"), proxy.clientListener.counters());
         }
     }
 
     /** Guards against pausing reads at 200 open commands, which would hide the client's close behind them. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void closeBehindManyUnansweredCommandsIsDetected() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
             proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
             for (int i = 1; i <= 200; i++) {
-                client.sendWrite(Integer.toString(i), DEADLINE_MS);
+                client.sendWrite(Integer.toString(i), DEADLINE_MILLIS);
             }
             proxy.awaitSelectorThread();
             assertEquals(proxy.outstandingRequests(), 200);
--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -83,10 +83,10 @@
     /** Adds malformed entries to the list, and omits the ports of draining databases. */
     volatile boolean hasMalformedEntries;
     /** Delay in ms before discovery handles a call. */
-    private int callDelayMs;
+    private int callDelayMillis;
 
     /** When the hold of the last call ends, by {@link System#nanoTime}. */
-    private long watchHoldEndsAt;
+    private long watchTimeoutAt;
 
     Deployment(TestWireClient wire) throws IOException, InterruptedException {
         this(wire, "", "");
@@ -120,11 +120,12 @@
     }
 
     /** Moves discovery to another address, reloads the configuration with it and returns the old discovery. */
-    ScriptedDiscovery moveDiscovery() throws IOException, InterruptedException {
-        return moveDiscovery(this::answerCall);
+    ScriptedDiscovery changeDiscoveryAddress() throws IOException, InterruptedException {
+        return changeDiscoveryAddress(this::answerCall);
     }
 
-    ScriptedDiscovery moveDiscovery(ScriptedDiscovery.ListSource listSource) throws IOException, InterruptedException {
+    ScriptedDiscovery changeDiscoveryAddress(ScriptedDiscovery.ListSource listSource)
+            throws IOException, InterruptedException {
         ScriptedDiscovery old = discovery;
         discovery = new ScriptedDiscovery(listSource);
         zoneFile = "moved.zone";
@@ -198,12 +199,12 @@
 
     private String answerCall(String query) throws InterruptedException {
         int from = query == null ? 0 : Integer.parseInt(query.replaceAll("from=(\\d+).*", "$1"));
-        int hold = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
+        int pollTimeoutMillis = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
         synchronized (states) {
             int call = discoveryCalls++;
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMs + hold);
-            watchHoldEndsAt = until;
-            pause(callDelayMs);
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMillis + pollTimeoutMillis);
+            watchTimeoutAt = until;
+            pause(callDelayMillis);
             while (from >= version && System.nanoTime() < until || call < firstAnsweredCall) {
                 pause(50);
             }
@@ -218,19 +219,19 @@
     }
 
     /**
-     * Leaves the open watch unanswered, and delays each later call by {@code nextCallDelayMs}. Returns the time, by
+     * Leaves the open watch unanswered, and delays each later call by {@code nextCallDelayMillis}. Returns the time, by
      * {@link System#nanoTime}, from which the changes that this watch misses count as announced: 6 s from now, or 2 s
      * after the end of the watch's hold if that is later.
      */
-    long silenceWatch(int nextCallDelayMs) throws InterruptedException {
+    long silenceWatch(int nextCallDelayMillis) throws InterruptedException {
         synchronized (states) {
-            while (watchHoldEndsAt < System.nanoTime()) {
+            while (watchTimeoutAt < System.nanoTime()) {
                 pause(50);
             }
             firstAnsweredCall = discoveryCalls;
-            callDelayMs = nextCallDelayMs;
+            callDelayMillis = nextCallDelayMillis;
             return Math.max(
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchHoldEndsAt + TimeUnit.SECONDS.toNanos(2));
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchTimeoutAt + TimeUnit.SECONDS.toNanos(2));
         }
     }
 
--- a/src/test/java/crankwick/app/DrainsIT.java
+++ b/src/test/java/crankwick/app/DrainsIT.java
@@ -50,7 +50,7 @@
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0");
                 Deployment.Client client = d.client()) {
             ScriptedDatabase old = d.primary();
-            old.greetingDelayMs = 3_000;
+            old.greetingDelayMillis = 3_000;
             client.send(statement("reserve", 9_000, ""));
             while (old.openedConnections.get() == 0) {
                 Thread.sleep(5);
@@ -101,17 +101,17 @@
 
     /** Guards against SIGHUP terminating the process, and against missing endpoint updates after a reload. */
     @Test(dataProvider = "wires")
-    public void reloadMovesTheWatchAndIgnoresAnInvalidFile(TestWireClient wire) throws Exception {
+    public void reloadChangesTheDiscoveryAddressAndIgnoresAnInvalidFile(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.reload("{ \"discovery\": ");
             assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
-            d.moveDiscovery().close();
+            d.changeDiscoveryAddress().close();
             d.publishState(d.replicas().get(0), "draining");
             for (int i = 0; i < 20; i++) {
                 assertServedBy(client.execute(statement("map-view", 1000, "")), "s-c");
             }
-            d.moveDiscovery().close();
+            d.changeDiscoveryAddress().close();
             d.publishState(d.replicas().get(0), "up");
             d.publishState(d.replicas().get(1), "draining");
             assertServedBy(client.execute(statement("map-view", 1000, "")), "s-b");
@@ -130,7 +130,7 @@
                 Deployment.Client later = d.client()) {
             ScriptedDatabase old = d.primary();
             assertEquals(first.execute(statement("reserve", 3000, "")).value(), "s-a:" + lastId());
-            old.delayMs = 2_000;
+            old.delayMillis = 2_000;
             first.send(statement("reserve", 10_000, ""));
             String inFlight = lastId();
             Thread.sleep(300);
@@ -154,12 +154,12 @@
      * although the new address does not respond.
      */
     @Test
-    public void responseInProgressWhenTheWatchMovesIsApplied() throws Exception {
+    public void responseInProgressWhenTheDiscoveryAddressChangesIsApplied() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            d.discovery.midResponsePauseMs = 3_000;
+            d.discovery.midResponsePauseMillis = 3_000;
             d.publishStates(Map.of("s-b", "draining", "s-c", "draining"));
-            ScriptedDiscovery old = d.moveDiscovery(query -> {
+            ScriptedDiscovery old = d.changeDiscoveryAddress(query -> {
                 Thread.sleep(60_000);
                 return "";
             });
--- a/src/test/java/crankwick/app/FaultSoak.java
+++ b/src/test/java/crankwick/app/FaultSoak.java
@@ -18,11 +18,11 @@
 final class FaultSoak {
     private static final int CLIENTS = 12;
     private static final int MAX_IDLE_CONNECTIONS = 230;
-    private static final int TRAFFIC_MS = 8_000;
+    private static final int TRAFFIC_MILLIS = 8_000;
     /** The longest deadline in the settings plus 0.7 s. */
-    private static final int KILL_AFTER_MS = 3_700;
+    private static final int KILL_AFTER_MILLIS = 3_700;
 
-    private static final int MAX_STOP_MS = 150;
+    private static final int MAX_STOP_MILLIS = 150;
     private static final String[] REPLY_KINDS = {
         "VALUE", "VALUE", "VALUE", "DISCONNECT", "MALFORMED", "NO_REPLY", "ERROR", "OVERLOADED"
     };
@@ -42,7 +42,7 @@
     record Outcome(
             int requests,
             int attempts,
-            int maxLoopDelayMs,
+            int maxLoopDelayMillis,
             List<SoakRecord.Violation> violations,
             List<String> errorLines) {}
 
@@ -73,14 +73,14 @@
             return new Outcome(
                     record.requests.size(),
                     d.attemptLog.attempts.size(),
-                    maxLoopDelayMs(d),
+                    maxLoopDelayMillis(d),
                     violations,
                     d.errorLines());
         }
     }
 
     /** The longest delay of the proxy's event loop that its log reports. */
-    private static int maxLoopDelayMs(Deployment d) {
+    private static int maxLoopDelayMillis(Deployment d) {
         return d.log.stream()
                 .filter(line -> line.contains("event loop up to "))
                 .mapToInt(line -> Integer.parseInt(line.replaceAll(".*event loop up to (\\d+) ms.*", "$1")))
@@ -105,15 +105,15 @@
 
     private void injectFaults(Deployment d) throws IOException, InterruptedException {
         boolean opensIdleConnections = seed % 4 == 3;
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRAFFIC_MS);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRAFFIC_MILLIS);
         while (System.nanoTime() < until) {
             ScriptedDatabase database = d.databases.get(random.nextInt(d.databases.size()));
             database.replyKind = REPLY_KINDS[random.nextInt(REPLY_KINDS.length)];
-            database.delayMs = random.nextInt(400);
-            database.greetingDelayMs = random.nextInt(4) == 0 ? random.nextInt(700) : 0;
+            database.delayMillis = random.nextInt(400);
+            database.greetingDelayMillis = random.nextInt(4) == 0 ? random.nextInt(700) : 0;
             database.resetsConnections = random.nextInt(4) == 0;
             if (random.nextInt(3) == 0) {
-                stopFor(d, 20 + random.nextInt(MAX_STOP_MS - 20));
+                stopFor(d, 20 + random.nextInt(MAX_STOP_MILLIS - 20));
             }
             for (int i = random.nextInt(8) == 0 ? 3 : 0; i > 0; i--) {
                 signal(d, "HUP");
@@ -154,7 +154,7 @@
         }
         record.recordSigterm();
         signal(d, "TERM");
-        d.process.waitFor(KILL_AFTER_MS, TimeUnit.MILLISECONDS);
+        d.process.waitFor(KILL_AFTER_MILLIS, TimeUnit.MILLISECONDS);
         long killedAt = System.nanoTime();
         d.process.destroyForcibly().waitFor();
         return killedAt;
--- a/src/test/java/crankwick/app/FaultSoakIT.java
+++ b/src/test/java/crankwick/app/FaultSoakIT.java
@@ -27,7 +27,7 @@
     public void noRuleIsBroken(long seed) throws Exception {
         FaultSoak.Outcome outcome = new FaultSoak(seed).run();
         System.out.println("soak seed " + seed + ": " + outcome.requests() + " requests, " + outcome.attempts()
-                + " attempts, event loop delayed by up to " + outcome.maxLoopDelayMs() + " ms, violations "
+                + " attempts, event loop delayed by up to " + outcome.maxLoopDelayMillis() + " ms, violations "
                 + outcome.violations());
         assertTrue(outcome.requests() > 100, "too few requests for a meaningful run: " + outcome.requests());
         assertEquals(outcome.errorLines().toString(), "[]");
--- a/src/test/java/crankwick/app/PausableProxyFixture.java
+++ b/src/test/java/crankwick/app/PausableProxyFixture.java
@@ -35,10 +35,10 @@
  * order in which the event loop and the selector thread process them.
  */
 final class PausableProxyFixture implements AutoCloseable {
-    static final long MS = 1_000;
-    static final long KEY_TTL = 1_000 * MS;
-    private static final long CONNECT_TIMEOUT = 9_000 * MS;
-    private static final long IDLE_TIMEOUT = 60_000 * MS;
+    static final long MICROS_PER_MILLI = 1_000;
+    static final long KEY_TTL = 1_000 * MICROS_PER_MILLI;
+    private static final long CONNECT_TIMEOUT = 9_000 * MICROS_PER_MILLI;
+    private static final long IDLE_TIMEOUT = 60_000 * MICROS_PER_MILLI;
     private static final int MAX_CONNECTIONS = 100;
 
     final ScriptedDatabase.AttemptLog attemptLog = new ScriptedDatabase.AttemptLog();
@@ -56,7 +56,7 @@
     }
 
     PausableProxyFixture(int maxSessions, long connectTimeout) throws Exception {
-        RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 6_000 * MS, connectTimeout, true);
+        RoutingSettings settings = TestSettings.keyedWrite(KEY_TTL, 6_000 * MICROS_PER_MILLI, connectTimeout, true);
         broker = new Broker(settings, 1, Map.of("", Contract.UNLIMITED), null);
         EffectRunner runner = new EffectRunner(broker, loop, clock);
         clientListener = new ClientListener(
@@ -180,8 +180,8 @@
             socket.getOutputStream().write(part.getBytes(StandardCharsets.US_ASCII));
         }
 
-        void sendWrite(String id, int deadlineMs) throws IOException, InterruptedException {
-            send("/* id=" + id + ",c=write,d=" + deadlineMs + ",k=k" + id + ",cluster=0 */ INSERT");
+        void sendWrite(String id, int deadlineMillis) throws IOException, InterruptedException {
+            send("/* id=" + id + ",c=write,d=" + deadlineMillis + ",k=k" + id + ",cluster=0 */ INSERT");
         }
 
         /** The next answer; null if the proxy has closed the connection. */
--- a/src/test/java/crankwick/app/RulesIT.java
+++ b/src/test/java/crankwick/app/RulesIT.java
@@ -67,10 +67,10 @@
 
     /** Guards against closing a connection for each reply after its deadline, and against a second reply. */
     @Test(dataProvider = "wires")
-    public void replyAfterTheDeadlineKeepsTheConnectionOpen(TestWireClient wire) throws Exception {
+    public void replyAfterTheDeadlineDoesNotCloseTheConnection(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.delayMs = 300);
+            d.databases.forEach(database -> database.delayMillis = 300);
             for (int i = 0; i < 5; i++) {
                 TestWireClient.Answer answer = client.execute(statement("map-view", 200, ""));
                 assertTrue(answer.kind().matches("FAILED|REFUSED"), answer.toString());
@@ -270,7 +270,7 @@
     public void idleConnectionsAreClosedBeforeTheDatabaseClosesThem(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.idleTimeoutMs = 4_000);
+            d.databases.forEach(database -> database.idleTimeoutMillis = 4_000);
             for (int i = 0; i < 4; i++) {
                 assertEquals(client.execute(statement("reserve", 3000, "")).kind(), "SERVED");
             }
--- a/src/test/java/crankwick/app/ScriptedDatabase.java
+++ b/src/test/java/crankwick/app/ScriptedDatabase.java
@@ -52,12 +52,12 @@
 
     final Semaphore splitPermits = new Semaphore(0);
     private int answerCount;
-    volatile int delayMs;
+    volatile int delayMillis;
     /** Number of characters that precede each value. */
     volatile int paddingChars;
 
     /** Delay before the login on a new connection is accepted. */
-    volatile int greetingDelayMs;
+    volatile int greetingDelayMillis;
     /** Logins on new connections are accepted once this opens. */
     volatile CountDownLatch greetingLatch = new CountDownLatch(0);
 
@@ -70,7 +70,7 @@
     /** Number of connections ever accepted and not reset at once. */
     final AtomicInteger openedConnections = new AtomicInteger();
     /** Connections idle for this long are closed, as databases do; 0 for no limit. */
-    volatile int idleTimeoutMs;
+    volatile int idleTimeoutMillis;
 
     private final TestWireClient wire;
     private final AttemptLog attemptLog;
@@ -91,12 +91,12 @@
             return;
         }
         openedConnections.incrementAndGet();
-        Thread.sleep(greetingDelayMs);
+        Thread.sleep(greetingDelayMillis);
         greetingLatch.await();
         wire.acceptLogin(socket, in);
         greetedConnections.incrementAndGet();
         for (int statements = 0; ; statements++) {
-            socket.setSoTimeout(idleTimeoutMs);
+            socket.setSoTimeout(idleTimeoutMillis);
             String statement = wire.readStatement(in);
             if (statement == null) {
                 return;
@@ -128,7 +128,7 @@
         }
         try {
             String kind = replyKind;
-            int wait = kind.equals("NO_REPLY") ? 60_000 : delayMs;
+            int wait = kind.equals("NO_REPLY") ? 60_000 : delayMillis;
             if (wait > 0 && !staysOpen(socket, in, wait) || kind.equals("DISCONNECT")) {
                 return false;
             }
--- a/src/test/java/crankwick/app/ScriptedDiscovery.java
+++ b/src/test/java/crankwick/app/ScriptedDiscovery.java
@@ -37,7 +37,7 @@
 
     volatile ResponseForm responseForm = ResponseForm.CONTENT_LENGTH;
     /** The pause between the two halves of a response. */
-    volatile int midResponsePauseMs;
+    volatile int midResponsePauseMillis;
 
     private final ListSource listSource;
 
@@ -104,7 +104,7 @@
             default -> {
                 out.write((status + length).getBytes());
                 out.write(body, 0, body.length / 2);
-                Thread.sleep(midResponsePauseMs);
+                Thread.sleep(midResponsePauseMillis);
                 out.write(body, body.length / 2, body.length - body.length / 2);
             }
         }
--- a/src/test/java/crankwick/app/SoakClient.java
+++ b/src/test/java/crankwick/app/SoakClient.java
@@ -12,11 +12,11 @@
  */
 final class SoakClient implements Runnable {
     private static final int[] PADDING_CHARS = {0, 0, 0, 2_000, 40_000, 80_000};
-    private static final int DEADLINE_RANGE_MS = 2_500;
+    private static final int DEADLINE_RANGE_MILLIS = 2_500;
     private static final double ABANDON_PROBABILITY = 0.3;
     private static final double BURST_PROBABILITY = 0.05;
     private static final int BURST_SIZE = 1_100;
-    private static final int MAX_PAUSE_MS = 60;
+    private static final int MAX_PAUSE_MILLIS = 60;
 
     private final Deployment deployment;
     private final SoakRecord record;
@@ -107,12 +107,12 @@
     private SoakRecord.Request sendRequest(Deployment.Client client, SoakRecord.Request previous) throws IOException {
         String id = Integer.toString(ids.incrementAndGet());
         boolean write = random.nextBoolean();
-        int deadlineMs = 200 + random.nextInt(DEADLINE_RANGE_MS);
-        String statement = "/* id=" + id + ",c=" + (write ? "reserve" : "map-view") + ",d=" + deadlineMs
+        int deadlineMillis = 200 + random.nextInt(DEADLINE_RANGE_MILLIS);
+        String statement = "/* id=" + id + ",c=" + (write ? "reserve" : "map-view") + ",d=" + deadlineMillis
                 + (write ? ",k=soak" + id : "") + ",cluster=0 */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'"
                 + "x".repeat(PADDING_CHARS[random.nextInt(PADDING_CHARS.length)]);
         client.send(statement);
-        SoakRecord.Request request = new SoakRecord.Request(id, System.nanoTime(), deadlineMs, previous);
+        SoakRecord.Request request = new SoakRecord.Request(id, System.nanoTime(), deadlineMillis, previous);
         record.requests.put(id, request);
         return request;
     }
@@ -138,7 +138,7 @@
     }
 
     private void pause() {
-        sleep(random.nextInt(MAX_PAUSE_MS));
+        sleep(random.nextInt(MAX_PAUSE_MILLIS));
     }
 
     private static void sleep(long millis) {
--- a/src/test/java/crankwick/app/SoakRecord.java
+++ b/src/test/java/crankwick/app/SoakRecord.java
@@ -31,7 +31,7 @@
     static final class Request {
         final String id;
         final long sentAt;
-        final long deadlineMs;
+        final long deadlineMillis;
         /** The preceding request of the same batch, which is answered first; null if there is none. */
         private final Request previous;
 
@@ -39,22 +39,22 @@
         volatile long answeredAt;
         volatile long closedAt;
 
-        Request(String id, long sentAt, long deadlineMs, Request previous) {
+        Request(String id, long sentAt, long deadlineMillis, Request previous) {
             this.id = id;
             this.sentAt = sentAt;
-            this.deadlineMs = deadlineMs;
+            this.deadlineMillis = deadlineMillis;
             this.previous = previous;
         }
 
         /** When the answer is due: at the deadline, or when the preceding request's answer arrived if that is later. */
         private long answerDueAt() {
-            long due = sentAt + TimeUnit.MILLISECONDS.toNanos(deadlineMs);
+            long due = sentAt + TimeUnit.MILLISECONDS.toNanos(deadlineMillis);
             return previous == null ? due : Math.max(due, previous.answeredAt);
         }
 
         @Override
         public String toString() {
-            return "request " + id + " with deadline " + deadlineMs + " ms: abandoned " + since(abandonedAt)
+            return "request " + id + " with deadline " + deadlineMillis + " ms: abandoned " + since(abandonedAt)
                     + ", answered " + since(answeredAt) + ", closed " + since(closedAt);
         }
 
@@ -164,14 +164,14 @@
                     request.id,
                     request + ", " + attempt.server() + " +" + TimeUnit.NANOSECONDS.toMillis(delay) + " ms after"));
         }
-        long sentDeadlineMs = Long.parseLong(attempt.statement().replaceAll("(?s).*?,d=(\\d+),.*", "$1"));
-        long remaining = request.sentAt + TimeUnit.MILLISECONDS.toNanos(request.deadlineMs) - attempt.receivedAt();
-        if (TimeUnit.MILLISECONDS.toNanos(sentDeadlineMs)
+        long sentDeadlineMillis = Long.parseLong(attempt.statement().replaceAll("(?s).*?,d=(\\d+),.*", "$1"));
+        long remaining = request.sentAt + TimeUnit.MILLISECONDS.toNanos(request.deadlineMillis) - attempt.receivedAt();
+        if (TimeUnit.MILLISECONDS.toNanos(sentDeadlineMillis)
                 > remaining + DEADLINE_TOLERANCE + pausedWithin(request.sentAt, attempt.receivedAt())) {
             all.add(new Violation(
                     "deadline exceeds the remaining time",
                     request.id,
-                    request + ", deadline sent " + sentDeadlineMs + " ms"));
+                    request + ", deadline sent " + sentDeadlineMillis + " ms"));
         }
     }
 }
--- a/src/test/java/crankwick/discovery/EndpointWatchTest.java
+++ b/src/test/java/crankwick/discovery/EndpointWatchTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void olderVersionIsAcceptedOnlyAfterTheFullListRepeatsIt() {
+    public void olderVersionIsAcceptedOnlyAfterTheFullListConfirmsIt() {
         List<Long> requests = new ArrayList<>();
         EndpointWatch watch = newWatch(requests);
         watch.start(0);
--- a/src/test/java/crankwick/failover/EvidenceFilterTest.java
+++ b/src/test/java/crankwick/failover/EvidenceFilterTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void earlyConnectFailureIsARefusal() {
+    public void earlyConnectFailureCountsAsConnectionRefused() {
         assertEquals(phaseAfterUnreachable(199_999), Phase.LEADERLESS);
     }
 
--- a/src/test/java/crankwick/failover/KeyWindowsTest.java
+++ b/src/test/java/crankwick/failover/KeyWindowsTest.java
@@ -53,7 +53,7 @@
 
     /** The earlier request's attempt is still in flight and may have executed. */
     @Test
-    public void rejectedRetryKeepsTheUnknownOutcomeOfAnEarlierAttempt() {
+    public void rejectedRetryDoesNotClearTheUnknownOutcomeOfAnEarlierAttempt() {
         assertTrue(keys.recordAttempt(request(1), START));
         TrackedRequest retry = request(2);
         assertTrue(keys.recordAttempt(retry, START + 1));
--- a/src/test/java/crankwick/failover/LeadershipTest.java
+++ b/src/test/java/crankwick/failover/LeadershipTest.java
@@ -141,7 +141,7 @@
     }
 
     @Test
-    public void transitionsKeepTheirEvidenceAndAreBounded() {
+    public void transitionHistoryIncludesEvidenceAndIsBounded() {
         Leadership leadership = ledByA();
         for (int i = 1; i <= 200; i++) {
             leadership.observe(new LeadershipEvidence.ConnectionLost("a"), START + 2 * i * MICROS_PER_MILLI);
--- a/src/test/java/crankwick/routing/EstimatesTest.java
+++ b/src/test/java/crankwick/routing/EstimatesTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void meanMovesByGainAndDecaysToBaseline() {
+    void meanIsUpdatedByGainAndDecaysToBaseline() {
         DecayingMean mean = new DecayingMean(0.5, 2, 1_000);
         assertEquals(2, mean.at(5_000));
         mean.add(4, 5_000);
--- a/src/test/java/crankwick/routing/OutlierDetectorTest.java
+++ b/src/test/java/crankwick/routing/OutlierDetectorTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void ejectsWhenMostAttemptsFail() {
+    void ejectsWhenTheFailureRateExceedsTheThreshold() {
         assertFalse(detector.recordFailure(NOW, random));
         assertFalse(detector.recordFailure(NOW, random));
         assertFalse(detector.recordFailure(NOW, random));
--- a/src/test/java/crankwick/simulation/FailoverSimulationTest.java
+++ b/src/test/java/crankwick/simulation/FailoverSimulationTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    public void figuresKeepTheirNamesAndOrder() {
+    public void figureNamesAndOrderAreStable() {
         Map<String, Object> figures = simulation(1, 1, true, Defect.NONE).run().figures();
         assertEquals(
                 String.join(" ", figures.keySet()),
