--- a/src/test/java/crankwick/app/BothWiresFixture.java
+++ b/src/test/java/crankwick/app/BothWiresFixture.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 
-/** Base of the socket tests: both wires, and statements whose request ids identify the answers to them. */
+/**
+ * Base class of the socket tests. Provides clients of both wire protocols, statements with unique request ids, and
+ * assertions on the answers, which contain the request id.
+ */
 abstract class BothWiresFixture {
     private int lastId;
 
--- a/src/test/java/crankwick/app/ConnectionRaceTest.java
+++ b/src/test/java/crankwick/app/ConnectionRaceTest.java
@@ -16,7 +16,7 @@
     private static final int DEADLINE_MILLIS = 5_000;
     private static final long TEST_TIMEOUT_MILLIS = 30_000;
 
-    /** Shutdown begins while the event loop still has the connection as idle, but a command has just been read. */
+    /** Shutdown begins when a command has been read, but the event loop still regards its connection as idle. */
     @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandReadAsShutdownBeginsIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The idle timeout of a connection expires when its command has just been read. */
+    /** Guards against closing a connection as idle when a command has been read from it but not yet processed. */
     @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandReadAsIdleTimeoutExpiresIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(2);
@@ -67,7 +67,7 @@
         }
     }
 
-    /** An idle connection is to be evicted in favor of a new one when its command has just been read. */
+    /** Guards against evicting a connection as idle when a command has been read from it but not yet processed. */
     @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandReadAsItsConnectionIsEvictedIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(1);
@@ -230,7 +230,7 @@
         }
     }
 
-    /** Shutdown is to close an idle connection whose command arrived while the selector thread was blocked. */
+    /** A command arrives after shutdown has begun, but before the blocked selector thread closes its connection. */
     @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandArrivingWhileSelectorIsBlockedIsAnsweredDuringShutdown() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
@@ -247,7 +247,7 @@
         }
     }
 
-    /** The second half of a command arrives while the selector thread is blocked: the client is not stalled. */
+    /** Guards against treating a client as stalled when its command is completed while the selector is blocked. */
     @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void commandCompletedWhileSelectorIsBlockedIsNotStalled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -82,17 +82,20 @@
     volatile int otherGroupEndpoints;
     /** Adds malformed entries to the list, and omits the ports of draining databases. */
     volatile boolean hasMalformedEntries;
-    /** Delay in ms before discovery handles a call. */
+    /** How long discovery delays the handling of each call. */
     private int callDelayMillis;
 
-    /** When the hold of the last call ends, by {@link System#nanoTime}. */
+    /** When the long poll of the last call times out, by {@link System#nanoTime}. */
     private long watchTimeoutAt;
 
     Deployment(TestWireClient wire) throws IOException, InterruptedException {
         this(wire, "", "");
     }
 
-    /** Replaces {@code originalText} in the operator's file and in the settings that are taken from it. */
+    /**
+     * Starts the program with {@code originalText} replaced in the operator's file, and thus also in the settings of
+     * the platform configuration, which are read from that file.
+     */
     Deployment(TestWireClient wire, String originalText, String replacementText)
             throws IOException, InterruptedException {
         this.wire = wire;
@@ -119,7 +122,7 @@
         Thread.sleep(500);
     }
 
-    /** Moves discovery to another address, reloads the configuration with it and returns the old discovery. */
+    /** Starts a discovery server on another port, reloads the configuration with it and returns the old server. */
     ScriptedDiscovery changeDiscoveryAddress() throws IOException, InterruptedException {
         return changeDiscoveryAddress(this::answerCall);
     }
@@ -221,7 +224,7 @@
     /**
      * Leaves the open watch unanswered, and delays each later call by {@code nextCallDelayMillis}. Returns the time, by
      * {@link System#nanoTime}, from which the changes that this watch misses count as announced: 6 s from now, or 2 s
-     * after the end of the watch's hold if that is later.
+     * after the watch's long poll times out if that is later.
      */
     long silenceWatch(int nextCallDelayMillis) throws InterruptedException {
         synchronized (states) {
--- a/src/test/java/crankwick/app/SoakRecord.java
+++ b/src/test/java/crankwick/app/SoakRecord.java
@@ -10,7 +10,8 @@
 
 /**
  * What the clients and databases observed in one soak run, and the checks of the rules on it. Times are nanoseconds of
- * {@link System#nanoTime}. The tolerances are wider than the operators', as a busy machine schedules test threads late.
+ * {@link System#nanoTime}. The tolerances are wider than those that the operators apply, because a
+ * busy machine schedules test threads late.
  */
 final class SoakRecord {
     /** An attempt may reach a database up to this long after its client has abandoned the request. */
--- a/src/test/java/crankwick/app/TestWireClient.java
+++ b/src/test/java/crankwick/app/TestWireClient.java
@@ -6,12 +6,18 @@
 
 /** A wire protocol as the tests implement it, on the client's and on the database's side. */
 interface TestWireClient {
-    /** The answer to a request: SERVED, REFUSED, FAILED, EMPTY, CLOSED, or ATTENTION on TDS; its error code, if any. */
+    /**
+     * The answer to a request. Its kind is SERVED, REFUSED, FAILED, EMPTY (no value, no error), CLOSED (the proxy has
+     * closed the connection) or ATTENTION (TDS only); the code is the error code, if any.
+     */
     record Answer(String kind, String code, String value, long retryAfter) {
         static final Answer CLOSED = new Answer("CLOSED", "", null, 0);
     }
 
-    /** A reply of a database: VALUE, STALE, OVERLOADED or ERROR; its replication position as Unix time in ms. */
+    /**
+     * A reply of a database. Its kind is VALUE, STALE, OVERLOADED or ERROR; the position is the replication position as
+     * Unix time in ms.
+     */
     record DatabaseReply(String kind, String value, String mode, long position, String report) {
         DatabaseReply(String kind, String value, String mode, long position) {
             this(kind, value, mode, position, "x0=" + position / 1e3 + ",x1=" + (mode.equals("read-write") ? 1 : 0));
--- a/src/test/java/crankwick/failover/KeyRegistryBenchmark.java
+++ b/src/test/java/crankwick/failover/KeyRegistryBenchmark.java
@@ -99,7 +99,7 @@
         return known == null ? Long.MAX_VALUE : known[0];
     }
 
-    /** Removes the first request and adds another. */
+    /** Removes the first request in release order and adds another. */
     @Benchmark
     public long requestInBuffer() {
         RequestBuffer.BufferedRequest first = buffer.first();
--- a/src/test/java/crankwick/failover/ReleaseWindowTest.java
+++ b/src/test/java/crankwick/failover/ReleaseWindowTest.java
@@ -46,10 +46,10 @@
     @Test
     public void shrinksWithLateAndRejectedAttempts() {
         window.onAttemptEnded(AttemptResult.OK, LATE, LATENCY_OBJECTIVE);
-        assertEquals(acquireAll(), 3, "2.8 of 4");
+        assertEquals(acquireAll(), 3, "the window shrinks from 4 to 2.8, which admits 3 requests");
         window.reset(4);
         window.onAttemptEnded(AttemptResult.REJECTED_OVERLOADED, IN_TIME, LATENCY_OBJECTIVE);
-        assertEquals(acquireAll(), 3, "2.8 of 4");
+        assertEquals(acquireAll(), 3, "the window shrinks from 4 to 2.8, which admits 3 requests");
     }
 
     @Test
--- a/src/test/java/crankwick/routing/LargeFleetTest.java
+++ b/src/test/java/crankwick/routing/LargeFleetTest.java
@@ -33,7 +33,7 @@
         harness.now += 2_000 * MICROS_PER_MILLI;
         assertNotNull(
                 harness.sentTo(harness.request(RouterTestHarness.SESSION_READ, 5, 800 * MICROS_PER_MILLI)),
-                "the replica had reached the commit at its last report");
+                "the replica reported no lag, so its assumed position is later than the commit");
         RouterTestHarness behind = new RouterTestHarness(settings.build());
         behind.addEndpoints("r1");
         behind.reportHealth("r1", Role.REPLICA, behind.now - 600 * MICROS_PER_MILLI);
--- a/src/test/java/crankwick/routing/RouterTestHarness.java
+++ b/src/test/java/crankwick/routing/RouterTestHarness.java
@@ -124,7 +124,7 @@
         handle(new HealthCheckResult(id, AttemptResult.OK, 2 * MICROS_PER_MILLI, report));
     }
 
-    /** Makes the endpoint pass each health check at the next clock step and report no lag. */
+    /** Delivers a successful result without lag for the endpoint's pending health check after each clock step. */
     void autoRespondToHealthChecks(String id, Role role) {
         autoResponders.put(id, role);
     }
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -252,7 +252,9 @@
         assertEquals("r1", harness.sentTo(first));
         harness.succeed(first);
         long second = harness.request(RouterTestHarness.EVENTUAL_READ);
-        assertNull(harness.sentTo(second), "no attempt is in flight, but the next one is not due yet");
+        assertNull(
+                harness.sentTo(second),
+                "no attempt is in flight, but the minimum interval between attempts is not over");
     }
 
     @Test
