--- a/src/test/java/crankwick/app/BothWiresFixture.java
+++ b/src/test/java/crankwick/app/BothWiresFixture.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 
-/** Base of the socket tests: both wires, and statements whose request ids identify the answers to them. */
+/**
+ * Base class of the socket tests. Provides clients of both wire protocols, statements with unique request ids, and
+ * assertions on the answers, which contain the request id.
+ */
 abstract class BothWiresFixture {
     private int lastId;
 
@@ -15,9 +18,9 @@
         return new Object[][] {{new PgTestClient()}, {new TdsTestClient()}};
     }
 
-    final String statement(String className, int deadlineMs, String extraHints) {
+    final String statement(String className, int deadlineMillis, String extraHints) {
         String key = className.equals("reserve") ? ",k=5c0f6e1a2b3d" + (lastId + 1) : "";
-        return "/* id=" + ++lastId + ",c=" + className + ",d=" + deadlineMs + key + ",cluster=0" + extraHints
+        return "/* id=" + ++lastId + ",c=" + className + ",d=" + deadlineMillis + key + ",cluster=0" + extraHints
                 + " */ SELECT val FROM state WHERE uid = '7f3a9c21e0b4d655'";
     }
 
--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -82,17 +82,20 @@
     volatile int otherGroupEndpoints;
     /** Adds malformed entries to the list, and omits the ports of draining databases. */
     volatile boolean hasMalformedEntries;
-    /** Delay in ms before discovery handles a call. */
-    private int callDelayMs;
+    /** How long discovery delays the handling of each call. */
+    private int callDelayMillis;
 
-    /** When the hold of the last call ends, by {@link System#nanoTime}. */
-    private long watchHoldEndsAt;
+    /** When the long poll of the last call times out, by {@link System#nanoTime}. */
+    private long watchTimeoutAt;
 
     Deployment(TestWireClient wire) throws IOException, InterruptedException {
         this(wire, "", "");
     }
 
-    /** Replaces {@code originalText} in the operator's file and in the settings that are taken from it. */
+    /**
+     * Starts the program with {@code originalText} replaced in the operator's file, and thus also in the settings of
+     * the platform configuration, which are read from that file.
+     */
     Deployment(TestWireClient wire, String originalText, String replacementText)
             throws IOException, InterruptedException {
         this.wire = wire;
@@ -119,12 +122,13 @@
         Thread.sleep(500);
     }
 
-    /** Moves discovery to another address, reloads the configuration with it and returns the old discovery. */
-    ScriptedDiscovery moveDiscovery() throws IOException, InterruptedException {
-        return moveDiscovery(this::answerCall);
+    /** Starts a discovery server on another port, reloads the configuration with it and returns the old server. */
+    ScriptedDiscovery changeDiscoveryAddress() throws IOException, InterruptedException {
+        return changeDiscoveryAddress(this::answerCall);
     }
 
-    ScriptedDiscovery moveDiscovery(ScriptedDiscovery.ListSource listSource) throws IOException, InterruptedException {
+    ScriptedDiscovery changeDiscoveryAddress(ScriptedDiscovery.ListSource listSource)
+            throws IOException, InterruptedException {
         ScriptedDiscovery old = discovery;
         discovery = new ScriptedDiscovery(listSource);
         zoneFile = "moved.zone";
@@ -198,12 +202,12 @@
 
     private String answerCall(String query) throws InterruptedException {
         int from = query == null ? 0 : Integer.parseInt(query.replaceAll("from=(\\d+).*", "$1"));
-        int hold = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
+        int pollTimeoutMillis = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
         synchronized (states) {
             int call = discoveryCalls++;
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMs + hold);
-            watchHoldEndsAt = until;
-            pause(callDelayMs);
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMillis + pollTimeoutMillis);
+            watchTimeoutAt = until;
+            pause(callDelayMillis);
             while (from >= version && System.nanoTime() < until || call < firstAnsweredCall) {
                 pause(50);
             }
@@ -218,19 +222,19 @@
     }
 
     /**
-     * Leaves the open watch unanswered, and delays each later call by {@code nextCallDelayMs}. Returns the time, by
+     * Leaves the open watch unanswered, and delays each later call by {@code nextCallDelayMillis}. Returns the time, by
      * {@link System#nanoTime}, from which the changes that this watch misses count as announced: 6 s from now, or 2 s
-     * after the end of the watch's hold if that is later.
+     * after the watch's long poll times out if that is later.
      */
-    long silenceWatch(int nextCallDelayMs) throws InterruptedException {
+    long silenceWatch(int nextCallDelayMillis) throws InterruptedException {
         synchronized (states) {
-            while (watchHoldEndsAt < System.nanoTime()) {
+            while (watchTimeoutAt < System.nanoTime()) {
                 pause(50);
             }
             firstAnsweredCall = discoveryCalls;
-            callDelayMs = nextCallDelayMs;
+            callDelayMillis = nextCallDelayMillis;
             return Math.max(
-                    System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchHoldEndsAt + TimeUnit.SECONDS.toNanos(2));
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchTimeoutAt + TimeUnit.SECONDS.toNanos(2));
         }
     }
 
