--- a/src/test/java/crankwick/app/FaultSoak.java
+++ b/src/test/java/crankwick/app/FaultSoak.java
@@ -99,7 +99,7 @@
             }
         }
         d.log.stream()
-                .filter(line -> line.contains(" id=" + violation.id() + " ") || line.contains("late,"))
+                .filter(line -> line.contains(" id=" + violation.id() + " ") || line.contains("event loop up to "))
                 .forEach(line -> System.out.println("    " + line));
     }
 
