--- a/src/main/java/crankwick/broker/ActiveRequest.java
+++ b/src/main/java/crankwick/broker/ActiveRequest.java
@@ -8,7 +8,8 @@
 
 /**
  * The state machine of one request, from its admission until it is completed and has no attempt in flight. Its state
- * changes only through the transition methods, which ensure at most one attempt in flight and one reply:
+ * changes only through the transition methods. Callers check {@link #mayBeginAttempt} and {@link #isCompleted} first,
+ * so that a request has at most one attempt in flight and one reply:
  *
  * <pre>
  * request: (BUFFERED ->) ROUTED -> COMPLETED
@@ -17,7 +18,7 @@
  */
 final class ActiveRequest {
     private enum Phase {
-        /** Waits for its group's leader; not passed to the router yet. */
+        /** Waits to be released by the failover coordinator; not passed to the router yet. */
         BUFFERED,
         /** Passed to the router, which decides on its attempts. */
         ROUTED,
@@ -29,7 +30,7 @@
         NONE,
         /** Handed to the database pool; may still be waiting for a connection. */
         QUEUED,
-        /** The last byte of the attempt has been written. */
+        /** The last byte of the attempt has been written to the database connection. */
         WRITTEN
     }
 
@@ -58,12 +59,12 @@
 
     // ---- Transitions ---------------------------------------------------------------------------------
 
-    /** Buffers the request until its group has a leader. */
+    /** Marks the request as buffered until the failover coordinator releases it. */
     void buffer() {
         phase = Phase.BUFFERED;
     }
 
-    /** Ends the buffering; the request is routed from now on. */
+    /** Marks a buffered request as passed to the router. */
     void release() {
         phase = Phase.ROUTED;
     }
@@ -74,7 +75,7 @@
         budget.releaseOutstanding();
     }
 
-    /** Returns the number of the next attempt. Attempts that are not sent use up a number too. */
+    /** Assigns and returns the number of the next attempt, from 0. Attempts that are not sent use up a number too. */
     int nextAttemptNumber() {
         return attempts++;
     }
@@ -151,8 +152,8 @@
     }
 
     /**
-     * No attempt may begin at or after this time: the request's deadline or, if the request has an idempotency key and
-     * an attempt may have executed, the end of the key window if that is earlier.
+     * No attempt may begin at or after this time: the request's deadline or, if the request's class uses idempotency
+     * keys and an attempt may have executed, the end of the key window if that is earlier.
      */
     long startDeadline() {
         boolean hasKeyWindow =
--- a/src/main/java/crankwick/broker/ActiveRequests.java
+++ b/src/main/java/crankwick/broker/ActiveRequests.java
@@ -11,7 +11,7 @@
     private final Map<Long, ActiveRequest> byId = new HashMap<>();
     private final Set<String> clientRequestIds = new HashSet<>();
 
-    /** Finds a request by the broker's ID; null if it is finished. */
+    /** Finds a request by the broker's ID; null if it is finished or was never admitted. */
     ActiveRequest find(long requestId) {
         return byId.get(requestId);
     }
--- a/src/main/java/crankwick/broker/AttemptController.java
+++ b/src/main/java/crankwick/broker/AttemptController.java
@@ -37,7 +37,10 @@
         this.counters = counters;
     }
 
-    /** Sends an attempt if the request's state, start deadline and idempotency key permit it. */
+    /**
+     * Sends an attempt if the request's state, start deadline, number of attempts and idempotency key permit it.
+     * Otherwise reports NOT_SENT to the router; if the idempotency key is the obstacle, also sends the final reply.
+     */
     void send(ActiveRequest request, String endpointId) {
         long now = context.now();
         int attempt = request.nextAttemptNumber();
@@ -79,7 +82,7 @@
                 null));
     }
 
-    /** Records that the last byte of an attempt has been written. */
+    /** Records that the last byte of an attempt has been written to the database connection. */
     void onWritten(BrokerEvent.AttemptWritten event) {
         ActiveRequest request = requests.find(event.requestId());
         if (request != null && request.isAttemptInFlight(event.attempt())) {
@@ -140,8 +143,9 @@
     }
 
     /**
-     * Cancels queued attempts at draining endpoints and, unless the rules permit their use, at removed endpoints. The
-     * router handles the endpoint update first, and chooses another endpoint when it receives the attempts' outcomes.
+     * Requests the cancellation of queued attempts at draining endpoints and, unless the rules permit the use of
+     * removed endpoints, at removed ones. The router handles the endpoint update first, and chooses another endpoint
+     * for each request when it receives the outcome of the cancelled attempt.
      */
     void cancelQueuedAttemptsAtUnusableEndpoints(BrokerEvent.EndpointsUpdated event) {
         Map<String, EndpointStatus> listedStatuses = new HashMap<>();
--- a/src/main/java/crankwick/broker/Broker.java
+++ b/src/main/java/crankwick/broker/Broker.java
@@ -59,7 +59,10 @@
         return context.effects();
     }
 
-    /** The ID of the only group whose failover the event may advance, or NONE. */
+    /**
+     * The ID of the only group whose failover the event may affect; NONE if there is no such group or there may be
+     * several.
+     */
     private long affectedGroupId(BrokerEvent event) {
         if (event instanceof BrokerEvent.RequestReceived e) {
             return e.request().groupId();
--- a/src/main/java/crankwick/broker/BrokerEvent.java
+++ b/src/main/java/crankwick/broker/BrokerEvent.java
@@ -15,7 +15,7 @@
     /** The client has abandoned the request and receives no reply. */
     record RequestAbandoned(long requestId, AbandonReason reason) implements BrokerEvent {}
 
-    /** The last byte of an attempt has been written. */
+    /** The last byte of an attempt has been written to the database connection. */
     record AttemptWritten(long requestId, int attempt) implements BrokerEvent {}
 
     /** An attempt has ended; {@code value} is meaningful only if the result is OK. */
--- a/src/main/java/crankwick/broker/ClientRequest.java
+++ b/src/main/java/crankwick/broker/ClientRequest.java
@@ -8,7 +8,8 @@
  * @param team the team whose contract applies
  * @param classIndex the index of the request's class in the settings
  * @param requiredPosition the minimum log position of a replica that may serve the request
- * @param timeout how long the client waits for a reply, counted from the receipt of the request
+ * @param timeout how long the client waits for a reply, counted from the receipt of the request and not yet limited by
+ *     the team's contract
  * @param idempotencyKey the idempotency key; null if there is none
  * @param statementBytes the memory that the statement takes while the request is buffered, in bytes
  */
--- a/src/main/java/crankwick/broker/Contract.java
+++ b/src/main/java/crankwick/broker/Contract.java
@@ -6,8 +6,10 @@
  * The limits on a team's requests.
  *
  * @param allowedClasses the indexes of the request classes that the team may use; empty for all
- * @param ratePerSecond the maximum request rate, with bursts of up to one second's requests; 0 for no limit
- * @param maxOutstanding the maximum number of requests received and not yet replied to; 0 for no limit
+ * @param ratePerSecond the maximum request rate, with bursts of up to one second's requests and at least one request; 0
+ *     for no limit
+ * @param maxOutstanding the maximum number of admitted requests that are neither replied to nor abandoned; 0 for no
+ *     limit
  * @param maxTimeout the maximum timeout of a request, in microseconds; 0 for no limit
  */
 public record Contract(Set<Integer> allowedClasses, double ratePerSecond, int maxOutstanding, long maxTimeout) {
--- a/src/main/java/crankwick/broker/DeadlineHandler.java
+++ b/src/main/java/crankwick/broker/DeadlineHandler.java
@@ -5,8 +5,8 @@
 /** Handles requests whose deadline has been reached. */
 final class DeadlineHandler {
     /**
-     * How long after its deadline a written idempotent attempt may still finish. This way its outcome is recorded and
-     * its connection is not closed.
+     * How long after the deadline a written attempt of an idempotent request may still end, so that its outcome is
+     * recorded and its connection is not closed. The client gets its reply at the deadline.
      */
     private static final long GRACE_PERIOD_MICROS = 1_000_000;
 
@@ -32,7 +32,10 @@
         this.failover = failover;
     }
 
-    /** Fails a request that has no reply at its deadline, or rejects it if it was buffered and never executed. */
+    /**
+     * Fails a request that has no reply at its deadline, or rejects it if it is still buffered and a retry is safe.
+     * Also cancels the attempt in flight, after the grace period if one applies.
+     */
     void onDeadline(long requestId) {
         ActiveRequest request = requests.find(requestId);
         if (request == null) {
--- a/src/main/java/crankwick/broker/Effect.java
+++ b/src/main/java/crankwick/broker/Effect.java
@@ -4,8 +4,8 @@
 public sealed interface Effect {
     /**
      * Send a request to a database, which has until {@code expiresAt} to serve it. The first byte must be written
-     * before {@code startDeadline}: at that time the client stops waiting, or the key window ends, in which databases
-     * discard repeats of an attempt that may have executed.
+     * before {@code startDeadline}. This is the time at which the client stops waiting or, if it is earlier and an
+     * attempt may have executed, the end of the key window, in which databases discard repeats.
      */
     record SendAttempt(long requestId, int attempt, String endpointId, long expiresAt, long startDeadline)
             implements Effect {}
--- a/src/main/java/crankwick/broker/FailoverActionHandler.java
+++ b/src/main/java/crankwick/broker/FailoverActionHandler.java
@@ -3,7 +3,7 @@
 import crankwick.failover.FailoverActions;
 import crankwick.routing.api.AttemptResult;
 
-/** Turns the failover coordinator's actions into routing events and effects. */
+/** Carries out the failover coordinator's actions on requests, which adds routing events and effects. */
 final class FailoverActionHandler implements FailoverActions {
     private final ReductionContext context;
     private final ActiveRequests requests;
@@ -33,7 +33,9 @@
         reply(requestId, new Reply.Failed(Reply.Reason.KEY_IN_DOUBT));
     }
 
-    /** Replies to a request, and notifies the router unless the request was only buffered. */
+    /**
+     * Replies to a request, and notifies the router unless the request is still buffered and so unknown to the router.
+     */
     private void reply(long requestId, Reply reply) {
         ActiveRequest request = requests.find(requestId);
         if (request.isBuffered()) {
--- a/src/main/java/crankwick/broker/FailoverDelegate.java
+++ b/src/main/java/crankwick/broker/FailoverDelegate.java
@@ -42,7 +42,10 @@
         return coordinator.admit(arrival, now);
     }
 
-    /** The rejection of a request whose group has no leader before the request's deadline. */
+    /**
+     * The rejection of a request because its group is not expected to have a leader in time, or a buffer limit is
+     * exceeded.
+     */
     Reply noPrimaryReply(ClientRequest request, long now) {
         long retryAfter = coordinator.retryAfter(request.groupId(), request.classIndex(), now);
         return new Reply.Rejected(Reply.Reason.NO_PRIMARY, retryAfter);
@@ -52,7 +55,10 @@
         return coordinator == null ? AttemptPermit.GRANTED : coordinator.permitAttempt(requestId, endpointId, now);
     }
 
-    /** True if any request with this request's key may have executed, so that a retry must not be reported as safe. */
+    /**
+     * True if a request with this request's key may have executed and a repeat may execute again, so that a retry must
+     * not be reported as safe.
+     */
     boolean hasUnknownOutcome(long requestId) {
         return coordinator != null && coordinator.hasUnknownOutcome(requestId);
     }
@@ -84,19 +90,22 @@
         return coordinator == null ? report : coordinator.onHealthCheckEnded(endpointId, result, duration, report, now);
     }
 
-    /** Evaluates an endpoint update and returns its endpoints, without outdated claims to be primary. */
+    /** Evaluates an endpoint update and returns its endpoints, with outdated PRIMARY roles replaced by UNKNOWN. */
     List<Endpoint> onEndpointsUpdated(BrokerEvent.EndpointsUpdated event, long now) {
         return coordinator == null
                 ? event.endpoints()
                 : coordinator.onEndpointsUpdated(event.kind(), event.endpoints(), now);
     }
 
-    /** The ID of an endpoint's group, or NONE. */
+    /** The ID of an endpoint's group; NONE if the endpoint is unknown or there is no coordinator. */
     long groupIdOf(String endpointId) {
         return coordinator == null ? AbsentValue.NONE : coordinator.groupIdOf(endpointId);
     }
 
-    /** Decides on failovers after an event; {@code groupId} is the only group that the event affects, or NONE. */
+    /**
+     * Makes the coordinator's decisions after an event: for all groups after an endpoint update or the failover timer,
+     * otherwise for the group {@code groupId} or, if that is NONE, for no group.
+     */
     void decide(BrokerEvent event, long groupId, long now, FailoverActions actions) {
         if (coordinator == null) {
             return;
--- a/src/main/java/crankwick/broker/LogPositionFilter.java
+++ b/src/main/java/crankwick/broker/LogPositionFilter.java
@@ -10,12 +10,12 @@
 
     private LogPositionFilter() {}
 
-    /** Returns the position, or NONE if it lies in the future by more than the clock skew. */
+    /** Returns the position, or NONE if it lies in the future by more than the maximum clock skew. */
     static long discardImplausible(long position, long now) {
         return position <= now + MAX_CLOCK_SKEW_MICROS ? position : AbsentValue.NONE;
     }
 
-    /** Returns the report, or null if its position lies in the future by more than the clock skew. */
+    /** Returns the report, or null if its position lies in the future by more than the maximum clock skew. */
     static LoadReport discardImplausible(LoadReport report, long now) {
         return report == null || discardImplausible(report.position(), now) == report.position() ? report : null;
     }
--- a/src/main/java/crankwick/broker/Reply.java
+++ b/src/main/java/crankwick/broker/Reply.java
@@ -5,9 +5,10 @@
     /**
      * Why a request was rejected or failed. Protocols with error numbers have a separate number for each reason.
      *
-     * <p>NO_PRIMARY: the failover of the request's group takes longer than the request can wait. KEY_IN_DOUBT: the
-     * request may have executed, and its key window is over. OVER_KEYS: the limit on remembered idempotency keys is
-     * reached. OVER_OPEN_COMMANDS: the connection has too many unanswered commands, or too large ones.
+     * <p>NO_PRIMARY: the failover of the request's group is expected to take longer than the request can wait, or a
+     * limit of the request buffer is exceeded. KEY_IN_DOUBT: a request with the same key may have executed, and a
+     * repeat is not safe. OVER_KEYS: the registry of idempotency keys is full. OVER_OPEN_COMMANDS: the connection has
+     * too many unanswered commands, or too large ones.
      */
     enum Reason {
         GIVEN_UP,
@@ -22,12 +23,18 @@
         OVER_OPEN_COMMANDS
     }
 
-    /** Served: a database's value (null for SQL's NULL) and the log position that the database reported. */
+    /**
+     * Served: a database's value (null for SQL's NULL), whether the request was a write, and the log position that the
+     * database reported, or NONE.
+     */
     record Served(byte[] value, boolean write, long position) implements Reply {}
 
     /** Rejected: the request is safe to retry; {@code retryAfter} is in microseconds, 0 if absent. */
     record Rejected(Reason reason, long retryAfter) implements Reply {}
 
-    /** Failed: the request may or may not have had an effect. */
+    /**
+     * Failed: the client must assume that the request may have had an effect, although CLASS_NOT_ALLOWED and ID_IN_USE
+     * are decided before any attempt.
+     */
     record Failed(Reason reason) implements Reply {}
 }
--- a/src/main/java/crankwick/broker/RequestHistory.java
+++ b/src/main/java/crankwick/broker/RequestHistory.java
@@ -64,7 +64,7 @@
         return attempts.get(attempts.size() - 1);
     }
 
-    /** False for a request that was served by its first attempt. */
+    /** Whether the history is logged: false for a request that was served by its first attempt. */
     boolean shouldLog() {
         return attempts.size() > 1 || !(reply instanceof Reply.Served);
     }
--- a/src/main/java/crankwick/broker/RequestLifecycle.java
+++ b/src/main/java/crankwick/broker/RequestLifecycle.java
@@ -104,7 +104,10 @@
         removeIfFinished(active);
     }
 
-    /** Handles a request that its client has abandoned; an attempt that has begun continues. */
+    /**
+     * Handles a request that its client has abandoned: cancels its queued attempt, but lets an attempt that has begun
+     * continue.
+     */
     void abandon(BrokerEvent.RequestAbandoned event) {
         ActiveRequest active = requests.find(event.requestId());
         if (active == null || active.isCompleted()) {
@@ -130,7 +133,10 @@
         context.emit(new Effect.SendReply(requestId, reply));
     }
 
-    /** Removes a request that is completed and has no attempt in flight, and logs its history. */
+    /**
+     * Removes a request that is completed and has no attempt in flight, and logs its history unless its first attempt
+     * served it or the rate limit for histories is exceeded.
+     */
     void removeIfFinished(ActiveRequest active) {
         if (active.isFinished() && requests.remove(active)) {
             String line = historyLog.logLineFor(active.history(), context.now());
--- a/src/main/java/crankwick/broker/RouterActionHandler.java
+++ b/src/main/java/crankwick/broker/RouterActionHandler.java
@@ -3,7 +3,10 @@
 import crankwick.routing.api.AttemptResult;
 import crankwick.routing.api.RoutingActions;
 
-/** Turns the router's actions into effects; actions on finished requests are ignored. */
+/**
+ * Carries out the router's actions on requests and turns its other actions into effects; actions on finished requests
+ * are ignored.
+ */
 final class RouterActionHandler implements RoutingActions {
     private final ReductionContext context;
     private final ActiveRequests requests;
@@ -36,8 +39,9 @@
     }
 
     /**
-     * Rejects a request, or fails it if any request with the same key may have executed. The router considers each
-     * request separately, so it may reject a request as safe to retry although another one has executed.
+     * Rejects a request, or fails it if a request with the same key may have executed and a repeat may execute again.
+     * The router considers each request separately, so it may reject a request as safe to retry although another
+     * request with the same key has executed.
      */
     @Override
     public void reject(long requestId, long retryAfter) {
@@ -82,12 +86,12 @@
 
     @Override
     public void watchEndpoints() {
-        // Discovery watches the endpoint list from its start, without a request.
+        // Nothing to do: the discovery client watches the endpoint list without being asked.
     }
 
     @Override
     public void fetchEndpoints() {
-        // Discovery fetches the complete list without a request.
+        // Nothing to do: the discovery client fetches the complete list without being asked.
     }
 
     @Override
--- a/src/main/java/crankwick/broker/RoutingDriver.java
+++ b/src/main/java/crankwick/broker/RoutingDriver.java
@@ -4,7 +4,7 @@
 import crankwick.routing.api.RoutingActions;
 import crankwick.routing.api.RoutingEvent;
 
-/** Passes the pending routing events of a reduction to the router, including those that its actions add. */
+/** Passes the pending routing events of a reduction to the router, including those that the router's actions add. */
 final class RoutingDriver {
     private final ReductionContext context;
     private final Router router;
--- a/src/main/java/crankwick/broker/TeamBudget.java
+++ b/src/main/java/crankwick/broker/TeamBudget.java
@@ -38,7 +38,10 @@
         return true;
     }
 
-    /** The time until the next token is available, in microseconds; call only after a token was refused. */
+    /**
+     * The time until the next token is available, in microseconds; valid only directly after {@link #tryAcquireToken}
+     * returned false.
+     */
     long timeUntilNextToken() {
         return (long) Math.ceil((1 - tokens) * MICROS_PER_SECOND / contract.ratePerSecond());
     }
--- a/src/main/java/crankwick/failover/EvidenceFilter.java
+++ b/src/main/java/crankwick/failover/EvidenceFilter.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Takes an endpoint list update and returns its endpoints. In a group whose leader has reported its own role, a
-     * PRIMARY role in the list counts as outdated and becomes UNKNOWN.
+     * Takes an endpoint list update and returns its endpoints. In a group in which a claim to be primary has been
+     * accepted, a PRIMARY role in the list counts as outdated and becomes UNKNOWN.
      */
     List<Endpoint> filterEndpoints(EndpointUpdateKind kind, List<Endpoint> endpoints, long now) {
         if (kind == EndpointUpdateKind.FULL) {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns the role reported by an attempt, or UNKNOWN if that role is outdated. The role counts as of the time
-     * at which the attempt was sent, because the reply may have been delayed.
+     * Takes the result of an attempt as evidence and returns the role in its reply, or UNKNOWN if that role is
+     * outdated. The role counts as of the time at which the attempt was sent, because the reply may have been delayed.
      */
     Role filterRole(AttemptObservation attempt, long now) {
         GroupState group = groups.groupOf(attempt.endpointId());
@@ -111,7 +111,10 @@
                         now);
     }
 
-    /** Returns the report of a health check, with an outdated role replaced by UNKNOWN. */
+    /**
+     * Takes the result of a health check as evidence and returns its load report, with an outdated role replaced by
+     * UNKNOWN.
+     */
     LoadReport filterHealthCheck(String endpointId, AttemptResult result, long duration, LoadReport report, long now) {
         GroupState group = groups.groupOf(endpointId);
         if (group == null) {
@@ -125,13 +128,16 @@
         return filterReport(group, endpointId, report, now);
     }
 
-    /** Returns a load report, with an outdated role replaced by UNKNOWN. */
+    /** Takes a load report as evidence and returns it, with an outdated role replaced by UNKNOWN. */
     LoadReport filterReport(String endpointId, LoadReport report, long now) {
         GroupState group = groups.groupOf(endpointId);
         return group == null ? report : filterReport(group, endpointId, report, now);
     }
 
-    /** Uses the log position as the time of the report: a primary's is the current time, a replica's an earlier one. */
+    /**
+     * Uses the log position as the time of the report: a primary's position is the current time, a replica's is an
+     * earlier time. A report without a position is returned unchanged and is not evidence.
+     */
     private LoadReport filterReport(GroupState group, String endpointId, LoadReport report, long now) {
         if (report == null || report.role() == Role.UNKNOWN || report.position() == AbsentValue.NONE) {
             return report;
--- a/src/main/java/crankwick/failover/FailoverActions.java
+++ b/src/main/java/crankwick/failover/FailoverActions.java
@@ -11,7 +11,7 @@
     /** Fails a request that may have executed and can no longer be repeated safely. */
     void failWithUnknownOutcome(long requestId);
 
-    /** Cancels a request's attempt that is in flight at a replaced leader. */
+    /** Cancels a request's attempt that is in flight at an endpoint other than the new leader. */
     void cancelAttempt(long requestId);
 
     /** Schedules a call of {@link FailoverCoordinator#onTimer} after {@code delay} microseconds. */
--- a/src/main/java/crankwick/failover/FailoverAdmission.java
+++ b/src/main/java/crankwick/failover/FailoverAdmission.java
@@ -2,12 +2,15 @@
 
 /** The admission decision for a received request. */
 public enum FailoverAdmission {
-    /** The request goes to the router. */
+    /** The request is passed to the router at once. */
     ADMIT,
-    /** The request is buffered until its group has a leader. */
+    /** The request is buffered until the failover coordinator releases it to the router, rejects it or fails it. */
     BUFFER,
-    /** The request has not executed, and is unlikely to be served in time or exceeds a buffer limit. */
+    /** The request is unlikely to be served in time or exceeds a buffer limit, and a retry of it is safe. */
     REJECT,
-    /** The request may have executed and cannot be admitted, for example because its key window has ended. */
+    /**
+     * A request with the same key may have executed, and this request cannot be admitted, for example because the key
+     * window has ended.
+     */
     FAIL
 }
--- a/src/main/java/crankwick/failover/FailoverCoordinator.java
+++ b/src/main/java/crankwick/failover/FailoverCoordinator.java
@@ -10,12 +10,14 @@
 
 /**
  * Handles failovers of primaries for one proxy: tracks the leader of each group, buffers requests while a group has no
- * leader, and records which idempotency keys may have executed. It performs no I/O and reads no clock; the broker
- * reports events and executes the decisions through {@link FailoverActions}.
+ * leader and until they can be released to the new one, and records the idempotency keys of requests that may have
+ * executed. It performs no I/O and reads no clock; the broker reports events and executes the decisions through
+ * {@link FailoverActions}.
  *
- * <p>A request is queued either here or in the router, never in both: here from {@link #admit} to
- * {@link FailoverActions#release}, in the router afterwards. While a group is leaderless, one request at a time is
- * released so that the router searches for the new primary; the router selects the endpoint and decides on retries.
+ * <p>A request is queued either here or in the router, never in both: a buffered request is queued here from
+ * {@link #admit} to {@link FailoverActions#release} and in the router afterwards, any other request only in the router.
+ * While a group is leaderless, one request at a time is released so that the router searches for the new primary; the
+ * router selects the endpoint and decides on retries.
  */
 public final class FailoverCoordinator {
     private static final long DECISION_INTERVAL_MICROS = 50_000;
@@ -47,7 +49,7 @@
         return evidence.filterRole(attempt, now);
     }
 
-    /** Takes the result of a health check and returns its report, with an outdated role replaced by UNKNOWN. */
+    /** Takes the result of a health check and returns its load report, with an outdated role replaced by UNKNOWN. */
     public LoadReport onHealthCheckEnded(
             String endpointId, AttemptResult result, long duration, LoadReport report, long now) {
         return evidence.filterHealthCheck(endpointId, result, duration, report, now);
@@ -58,23 +60,35 @@
         return evidence.filterReport(endpointId, report, now);
     }
 
-    /** Decides on a received request; the caller must answer a request that is rejected or failed. */
+    /**
+     * Decides whether a received request is routed, buffered, rejected or failed; the caller must answer a request that
+     * is rejected or failed.
+     */
     public FailoverAdmission admit(IncomingRequest request, long now) {
         return requests.admit(request, now);
     }
 
-    /** Returns the retry-after in microseconds for a request that is rejected because its group has no leader. */
+    /**
+     * Returns the retry-after in microseconds for a request that is rejected because its group has no leader; 0 if the
+     * group is unknown or the settings do not support retry-after.
+     */
     public long retryAfter(long groupId, int classIndex, long now) {
         return decisions.retryAfter(groups.group(groupId), classIndex, now);
     }
 
-    /** Returns true if a request with the same key may have executed, so that a repeat may execute it again. */
+    /**
+     * Returns true if a request with the same key may have executed and a repeat may execute again; false if the
+     * request is not tracked.
+     */
     public boolean hasUnknownOutcome(long requestId) {
         TrackedRequest request = requests.find(requestId);
         return request != null && request.hasUnknownOutcome();
     }
 
-    /** Decides whether an attempt may be sent; a granted attempt counts as sent at {@code now}. */
+    /**
+     * Decides whether an attempt may be sent; a granted attempt counts as sent at {@code now}. Attempts of requests
+     * that are not tracked are always granted.
+     */
     public AttemptPermit permitAttempt(long requestId, String endpointId, long now) {
         return requests.permitAttempt(requestId, endpointId, now);
     }
@@ -84,12 +98,15 @@
         requests.onAttemptEnded(requestId, result, duration, now);
     }
 
-    /** Handles the completion of a request: its final reply was sent, or its client has disconnected. */
+    /** Handles the completion of a request: its final reply was sent, or its client has abandoned it. */
     public void onRequestCompleted(long requestId) {
         requests.onRequestCompleted(requestId);
     }
 
-    /** Makes the decisions for one group, after an event that affects it. */
+    /**
+     * Handles a new term of one group and rejects, fails or releases its requests, after an event that affects the
+     * group.
+     */
     public void decide(long groupId, long now, FailoverActions actions) {
         GroupState group = groups.group(groupId);
         if (group != null) {
@@ -97,14 +114,19 @@
         }
     }
 
-    /** Makes the decisions for all groups, after an event that affects several. */
+    /**
+     * Handles new terms of all groups and rejects, fails or releases their requests, after an event that affects
+     * several groups.
+     */
     public void decideAll(long now, FailoverActions actions) {
         for (GroupState group : groups.all()) {
             decide(group, now, actions);
         }
     }
 
-    /** Handles the timer scheduled through {@link FailoverActions#scheduleTimer}. */
+    /**
+     * Handles the timer scheduled through {@link FailoverActions#scheduleTimer}; makes the decisions for all groups.
+     */
     public void onTimer(long now, FailoverActions actions) {
         timerScheduled = false;
         decideAll(now, actions);
--- a/src/main/java/crankwick/failover/FailoverCounters.java
+++ b/src/main/java/crankwick/failover/FailoverCounters.java
@@ -1,6 +1,6 @@
 package crankwick.failover;
 
-/** Counts failovers and their effects on requests since the start. */
+/** Counts failovers and their effects on requests since the failover coordinator was created. */
 public final class FailoverCounters {
     long failovers;
     long buffered;
--- a/src/main/java/crankwick/failover/FailoverDecisions.java
+++ b/src/main/java/crankwick/failover/FailoverDecisions.java
@@ -2,7 +2,7 @@
 
 import crankwick.routing.api.RoutingSettings;
 
-/** Makes the decisions for one group after an event: starts a new term, rejects requests, releases requests. */
+/** Makes the decisions for one group after an event: handles a new term, and rejects, fails or releases requests. */
 final class FailoverDecisions {
     private static final long MIN_RETRY_AFTER_MICROS = 50_000;
     private static final long MICROS_PER_MILLI = 1_000;
@@ -69,7 +69,11 @@
                 + group.buffer().size() + " requests buffered";
     }
 
-    /** Immediately rejects or fails the requests of a leaderless group that are unlikely to be served in time. */
+    /**
+     * Rejects or fails the buffered requests of a leaderless group that are unlikely to be served in time. Also fails
+     * such released requests that may have executed and have no attempt in flight; the router handles the other
+     * released requests.
+     */
     private void rejectUnlikelyRequests(GroupState group, long now, FailoverActions actions) {
         for (RequestBuffer.BufferedRequest entry : group.buffer().all()) {
             TrackedRequest request = requests.find(entry.requestId());
@@ -100,8 +104,8 @@
     }
 
     /**
-     * Returns the retry-after in microseconds for a request of a leaderless group; 0 if the site does not
-     * support it.
+     * Returns the retry-after in microseconds for a request of a leaderless group; 0 if the group is unknown or the
+     * settings do not support retry-after.
      */
     long retryAfter(GroupState group, int classIndex, long now) {
         if (group == null || !routing.limits().retryAfterSupported()) {
@@ -115,7 +119,8 @@
 
     /**
      * Releases buffered requests. While the group is leaderless, a request is released only if no released request is
-     * open; otherwise the release window limits the number of open released requests.
+     * open; otherwise the release window limits the number of open released requests. A request whose release deadline
+     * or key window has ended is rejected or failed instead.
      */
     private void releaseBuffered(GroupState group, boolean leaderless, long now, FailoverActions actions) {
         while (group.buffer().size() > 0 && mayRelease(group, leaderless)) {
--- a/src/main/java/crankwick/failover/FailoverDurations.java
+++ b/src/main/java/crankwick/failover/FailoverDurations.java
@@ -32,8 +32,9 @@
     }
 
     /**
-     * Returns the probability that a failover of the given age ends within {@code remaining}. A failover that is longer
-     * than all samples is expected to continue for about as long as it has lasted so far (Gott's estimate).
+     * Returns the probability that a failover that has lasted for {@code age} ends within the next {@code remaining}. A
+     * failover that is longer than all samples is expected to continue for about as long as it has lasted so far
+     * (Gott's estimate).
      */
     double successProbability(long age, long remaining) {
         if (remaining <= 0) {
@@ -52,7 +53,10 @@
                 : endedInTimeWeight / remainingWeight;
     }
 
-    /** Returns the median of the remaining duration of a failover of the given age. */
+    /**
+     * Returns the median remaining duration of a failover that has lasted for {@code age}; {@code age} itself if all
+     * samples are shorter.
+     */
     long medianRemaining(long age) {
         long[] longer =
                 Arrays.stream(samples, 0, count()).filter(s -> s > age).sorted().toArray();
--- a/src/main/java/crankwick/failover/FailoverSettings.java
+++ b/src/main/java/crankwick/failover/FailoverSettings.java
@@ -6,20 +6,21 @@
  *
  * @param maxBufferedPerGroup the maximum number of requests buffered for one group; 0 disables buffering
  * @param maxBufferedPerTeam the maximum number of requests of one team buffered over all groups
- * @param maxBytesPerGroup the maximum size of the statements buffered for one group
- * @param maxBytesPerTeam the maximum size of the statements of one team buffered over all groups
- * @param minSuccessProbability the minimum probability, 0 to 1, that the failover ends in time for a request to stay
- *     buffered
- * @param initialWindow the number of requests released to a new primary at the same time, 1 or more
- * @param keyMargin how long before the end of a key window attempts stop being sent, to cover the latency to the
+ * @param maxBytesPerGroup the maximum total size of the statements buffered for one group, in bytes
+ * @param maxBytesPerTeam the maximum total size of the statements of one team buffered over all groups, in bytes
+ * @param minSuccessProbability the minimum probability, 0 to 1, that the failover ends in time for a request to be
+ *     admitted or stay buffered
+ * @param initialWindow the initial size of the release window: how many requests released to a new primary may be open
+ *     at the same time, 1 or more
+ * @param keyMargin how long before the end of a key window the last attempt may be sent, to cover the latency to the
  *     database
  * @param maxKeys the maximum number of keys in the registry, 1 or more
- * @param keyRetention how long a key that may have executed stays in the registry after its key window, so that
- *     a client's retry fails instead of executing a second time
- * @param minUnplannedDuration the shortest expected failover from a failed primary
- * @param maxUnplannedDuration the longest expected failover from a failed primary
- * @param minPlannedDuration the shortest expected failover from a draining primary
- * @param maxPlannedDuration the longest expected failover from a draining primary
+ * @param keyRetention how long the key of a request that may have executed stays in the registry after its key window,
+ *     so that a client's retry fails instead of executing a second time
+ * @param minUnplannedDuration the shortest expected duration of a failover from a failed primary
+ * @param maxUnplannedDuration the longest expected duration of a failover from a failed primary
+ * @param minPlannedDuration the shortest expected duration of a failover from a primary listed as draining or removed
+ * @param maxPlannedDuration the longest expected duration of a failover from a primary listed as draining or removed
  */
 public record FailoverSettings(
         int maxBufferedPerGroup,
@@ -39,7 +40,7 @@
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long BYTES_PER_MEBIBYTE = 1 << 20;
 
-    /** The defaults for keys that are missing in the operator's file. */
+    /** The default values of the settings whose keys are missing in the operator's file. */
     public static final FailoverSettings DEFAULT = new FailoverSettings(
             512,
             2_048,
--- a/src/main/java/crankwick/failover/GroupRegistry.java
+++ b/src/main/java/crankwick/failover/GroupRegistry.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The replication groups in the endpoint list, and the group of each endpoint. */
+/** The replication groups that have known endpoints or open requests, and the group of each known endpoint. */
 final class GroupRegistry {
     private final FailoverSettings settings;
     private final Map<Long, GroupState> groups = new LinkedHashMap<>();
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns the group of a listed endpoint, adding an unknown endpoint; null if it is unknown and listed as
-     * removed.
+     * Returns the group of an endpoint in a list update. An unknown endpoint is added, unless it is listed as removed;
+     * null is returned then.
      */
     GroupState groupOfListedEndpoint(Endpoint endpoint) {
         GroupState group = groupByEndpoint.get(endpoint.id());
@@ -61,7 +61,7 @@
         return group;
     }
 
-    /** Removes an endpoint that is no longer in the list. */
+    /** Removes an endpoint that is no longer in the endpoint list, and its group if the group is then unused. */
     void removeEndpoint(String endpointId, GroupState group) {
         if (groupByEndpoint.remove(endpointId) != null) {
             group.leadership().removeEndpoint(endpointId);
--- a/src/main/java/crankwick/failover/GroupState.java
+++ b/src/main/java/crankwick/failover/GroupState.java
@@ -43,7 +43,10 @@
         return leadership.phase() == Leadership.Phase.LEADERLESS;
     }
 
-    /** Returns the durations of planned or unplanned failovers, by the kind of the current or last failover. */
+    /**
+     * Returns the distribution of failover durations of the kind, planned or unplanned, of the failover in progress or,
+     * if there is none, of the last failover.
+     */
     FailoverDurations durations() {
         return leadership.isFailoverPlanned() ? plannedDurations : unplannedDurations;
     }
@@ -65,7 +68,10 @@
         released.put(request.requestId(), request);
     }
 
-    /** Removes a finished request, and returns its capacity to the release window if it was counted there. */
+    /**
+     * Removes a finished request from the released ones, and frees its capacity in the release window if it was counted
+     * there in the current term.
+     */
     void removeReleased(TrackedRequest request) {
         boolean wasReleased = released.remove(request.requestId()) != null;
         if (wasReleased && request.isPacedIn(leadership.term())) {
--- a/src/main/java/crankwick/failover/IncomingRequest.java
+++ b/src/main/java/crankwick/failover/IncomingRequest.java
@@ -4,7 +4,7 @@
  * A request as received from a client; times in microseconds.
  *
  * @param idempotencyKey the request's idempotency key, or null if it has none
- * @param statementBytes the length of the statement
+ * @param statementBytes the memory that the statement takes while the request is buffered, in bytes
  * @param expiresAt the deadline of the request
  */
 public record IncomingRequest(
--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -3,11 +3,12 @@
 import java.util.Arrays;
 
 /**
- * Records the idempotency keys that may have executed. An entry lives from the sending of the key's first attempt that
- * may have executed until the end of the key window and the retention period after it.
+ * Records the idempotency keys of requests that may have executed. An entry lives from the sending of the key's first
+ * attempt until the end of the key window and the retention period after it. If that attempt is proven not to have
+ * executed, the key's next attempt restarts the key window.
  *
  * <p>Entries are stored in parallel arrays, chained by hash, and expire on a hashed timing wheel (Varghese and Lauck,
- * "Hashed and hierarchical timing wheels", 1987): an operation takes constant time, and an entry takes
+ * "Hashed and hierarchical timing wheels", 1987): an operation takes constant time on average, and an entry takes
  * {@value #BYTES_PER_ENTRY} bytes including its share of the chain heads, regardless of the number of entries.
  *
  * <p>Keys are identified by their {@link KeyHash} only; if two keys collide, the worst effect is that a request fails.
@@ -25,8 +26,8 @@
     private static final int NONE = -1;
     private static final int INITIAL_CAPACITY = 64;
     /**
-     * The width of a wheel slot; an entry that expires after more than one turn is put back into its slot on
-     * each turn.
+     * The time covered by one slot of the timing wheel; an entry that has not expired when its slot is processed is put
+     * back into the wheel.
      */
     private static final long TICK_MICROS = 8_192;
 
@@ -95,7 +96,7 @@
      * Records that an attempt is sent. The first attempt that may have executed starts the key window; later attempts
      * do not extend it.
      *
-     * @param timeToLive how long the key stays in the registry, from {@code now}
+     * @param timeToLive how long the key stays in the registry from {@code now}, if this attempt starts the key window
      * @return false if the key is new and the registry is full
      */
     boolean recordAttempt(long hash, long now, long timeToLive) {
@@ -154,7 +155,10 @@
         }
     }
 
-    /** Returns the send time of the first attempt that may have executed, or {@link #NEVER} if there is none. */
+    /**
+     * Returns the send time of the key's first attempt that may have executed or is in flight, or {@link #NEVER} if
+     * there is none.
+     */
     long mayHaveExecutedSince(long hash, long now) {
         advance(now);
         int entry = find(hash);
@@ -180,7 +184,10 @@
         slots[slot] = entry;
     }
 
-    /** Removes expired entries. The work is bounded by the number of expiring entries and one turn of the wheel. */
+    /**
+     * Removes expired entries. Visits only the slots that have come due since the last call, at most one turn of the
+     * wheel, and the entries in them.
+     */
     private void advance(long now) {
         long lastTick = Math.floorDiv(now, TICK_MICROS);
         if (currentTick == Long.MIN_VALUE) {
--- a/src/main/java/crankwick/failover/KeyWindows.java
+++ b/src/main/java/crankwick/failover/KeyWindows.java
@@ -24,7 +24,10 @@
         request.setMayHaveExecutedSince(registry.mayHaveExecutedSince(request.keyHash(), now));
     }
 
-    /** Returns true if the request may have executed and a repeat would reach a database after the key window. */
+    /**
+     * Returns true if a request with the same key may have executed and an attempt sent now may reach the database
+     * after the end of the key window.
+     */
     boolean isExpired(TrackedRequest request, long now) {
         return request.mayHaveExecuted() && now >= lastSendAt(request);
     }
@@ -51,7 +54,7 @@
         return registry.recordAttempt(hash, now, request.requestClass().keyTtl() + settings.keyRetention());
     }
 
-    /** Records the result of an attempt. */
+    /** Records the result of an attempt in the key registry, if the request has an idempotency key. */
     void recordResult(TrackedRequest request, AttemptResult result, long now) {
         if (request.isKeyed()) {
             boolean provenNotExecuted = result.provesNotExecuted() && request.attemptStartsKeyWindow();
--- a/src/main/java/crankwick/failover/Leadership.java
+++ b/src/main/java/crankwick/failover/Leadership.java
@@ -9,25 +9,34 @@
 
 /**
  * The leader of one group, as far as this proxy knows, in numbered terms. A term begins when a claim to be primary is
- * accepted. The state changes only on evidence, and each {@link PhaseTransition} records the evidence for it.
+ * accepted from an endpoint other than the current leader. The phase changes only on evidence, and each
+ * {@link PhaseTransition} records this evidence.
  *
  * <p>Term numbers are local to this proxy, because no message carries the group's own term. Instead, claims are ordered
- * by the earliest time at which they can have been made, and fenced by the highest log position that an accepted
- * leader has reported: the actual leader has all writes that were acknowledged before, so a claim with an earlier
- * position is outdated (compare fencing tokens; Gray and Cheriton, "Leases", 1989).
+ * by the earliest time at which they can have been made, and fenced by the highest log position that an accepted leader
+ * has reported: the actual leader has all writes that were acknowledged before, so a claim with an earlier position is
+ * outdated (compare fencing tokens; Gray and Cheriton, "Leases", 1989).
  */
 public final class Leadership {
-    /** The state of a group's leadership; requests are held back for lack of a leader only while LEADERLESS. */
+    /** The state of a group's leadership; requests are buffered for lack of a leader only while LEADERLESS. */
     public enum Phase {
-        /** No endpoint has claimed to be primary yet. */
+        /** No claim to be primary has been accepted yet. */
         UNKNOWN,
-        /** The leader responds. */
+        /** The leader has claimed the primary role or served a write, and there is no newer evidence against it. */
         HEALTHY,
-        /** There is evidence against the leader, such as a lost connection; requests are still sent to it. */
+        /**
+         * A connection to the leader was lost, or the leader did not respond in time; requests are still sent to it.
+         */
         SUSPECTED,
-        /** The leader is down, unresponsive, draining or removed, or has denied that it is primary. */
+        /**
+         * The last leader is down, unresponsive, draining or removed, or has denied that it is primary, and no claim to
+         * be primary has been accepted since.
+         */
         LEADERLESS,
-        /** A leader has claimed the primary role and has not served a write yet. */
+        /**
+         * A new leader, or the last leader after LEADERLESS, has claimed the primary role and has not served a write
+         * yet; the first leader of a group is HEALTHY at once.
+         */
         TAKING_OVER
     }
 
@@ -35,19 +44,22 @@
     public record PhaseTransition(
             long at, Phase from, Phase to, String leader, long term, LeadershipEvidence evidence) {}
 
-    /** A leader observed within this period is not replaced on the claim of a former leader. */
-    private static final long RECENT_OBSERVATION_MICROS = 500_000;
     /**
-     * A primary's position is the current time; a claim with a position older than this comes from a replaced
-     * leader.
+     * While the group has a leader whose last claim was accepted within this period, claims of former leaders are
+     * rejected.
      */
+    private static final long RECENT_OBSERVATION_MICROS = 500_000;
+    /** A primary's log position is the current time, so a claim whose position is older than this is outdated. */
     private static final long MAX_CLAIM_AGE_MICROS = 1_500_000;
     /**
-     * Positions are rounded to milliseconds in the wire protocols, so claims are accepted this far behind the
-     * fence.
+     * Positions are rounded to milliseconds in the wire protocols, so claims are accepted this far behind the fence,
+     * the highest position that an accepted leader has reported.
      */
     private static final long POSITION_ROUNDING_MICROS = 2_000;
-    /** Earlier than any real time, but far enough from Long.MIN_VALUE that subtracting it does not overflow. */
+    /**
+     * The initial value of times and positions: earlier than any real one, but far enough from Long.MIN_VALUE that
+     * subtracting it does not overflow.
+     */
     private static final long DISTANT_PAST = Long.MIN_VALUE / 2;
 
     private static final int MAX_TRANSITIONS = 32;
@@ -65,7 +77,10 @@
     private boolean planned;
     private long fence = DISTANT_PAST;
 
-    /** Takes a piece of evidence; returns false if it is a claim or denial that is rejected as outdated. */
+    /**
+     * Takes a piece of evidence; returns false if it is a claim to be primary or a denial of it that is rejected, for
+     * example as outdated.
+     */
     boolean observe(LeadershipEvidence evidence, long now) {
         if (evidence instanceof LeadershipEvidence.RoleReported e) {
             return e.role() == Role.PRIMARY ? onClaim(e, now) : onDenial(e, e.asOf(), now);
@@ -126,14 +141,20 @@
         return !leaderObserved && claim.asOf() > replacedAsOf && !unverifiable;
     }
 
-    /** Returns true if the claimed position is behind the fence or older than the maximum claim age. */
+    /**
+     * Returns true if the position in the claim is behind the fence by more than the rounding, or older than the
+     * maximum claim age; false if the claim has no position.
+     */
     private boolean isPositionBehind(LeadershipEvidence.RoleReported claim, long now) {
         return claim.position() != AbsentValue.NONE
                 && (claim.position() < fence - POSITION_ROUNDING_MICROS
                         || claim.position() < now - MAX_CLAIM_AGE_MICROS);
     }
 
-    /** Handles a claim of the current leader, which ends a suspicion that is older than the claim. */
+    /**
+     * Handles an accepted claim of the current or last leader: it ends a leaderless phase, or a suspicion that is older
+     * than the claim.
+     */
     private void onLeaderObserved(LeadershipEvidence.RoleReported claim, long now) {
         latestClaimAsOf = Math.max(latestClaimAsOf, claim.asOf());
         lastObservedAt = now;
@@ -159,7 +180,10 @@
         transition(phase == Phase.UNKNOWN ? Phase.HEALTHY : Phase.TAKING_OVER, claim, now);
     }
 
-    /** Handles a denial of the primary role; a leader's denial is outdated unless it is newer than its last claim. */
+    /**
+     * Handles an endpoint's denial of the primary role. A denial by the leader ends its leadership if it is newer than
+     * the leader's last claim, and is rejected as outdated otherwise.
+     */
     private boolean onDenial(LeadershipEvidence denial, long asOf, long now) {
         if (!denial.endpointId().equals(leader)) {
             return true;
@@ -197,7 +221,10 @@
         }
     }
 
-    /** Handles a write served by the leader, which completes the failover. */
+    /**
+     * Handles a write served by an endpoint; if the endpoint is the leader that is taking over, the leader becomes
+     * HEALTHY.
+     */
     void writeServed(LeadershipEvidence evidence, long now) {
         if (phase == Phase.TAKING_OVER && evidence.endpointId().equals(leader)) {
             transition(Phase.HEALTHY, evidence, now);
@@ -212,7 +239,9 @@
         phase = to;
     }
 
-    /** Removes the record of an endpoint that has been removed from the group. */
+    /**
+     * Discards the record that an endpoint is a former leader, because the endpoint has been removed from the group.
+     */
     void removeEndpoint(String endpointId) {
         replacedLeaders.remove(endpointId);
     }
@@ -233,7 +262,8 @@
     }
 
     /**
-     * Returns the time in microseconds at which the group last became leaderless, as estimated by this proxy.
+     * Returns the time in microseconds at which the group last became leaderless, as estimated by this proxy; 0 if it
+     * never did.
      */
     public long leaderlessSince() {
         return leaderlessSince;
@@ -241,7 +271,7 @@
 
     /**
      * Returns true if the failover in progress, or the last completed failover if there is none in progress, began
-     * because the endpoint list showed the leader as draining or removed.
+     * because the endpoint list showed the leader as draining or removed, or no longer contained it.
      */
     public boolean isFailoverPlanned() {
         return planned;
--- a/src/main/java/crankwick/failover/LeadershipEvidence.java
+++ b/src/main/java/crankwick/failover/LeadershipEvidence.java
@@ -16,21 +16,24 @@
     /** A write was rejected because the endpoint is not a primary. */
     record WriteRejected(String endpointId, long asOf) implements LeadershipEvidence {}
 
-    /** A connection was refused immediately, so the database process is down. */
+    /** A connection failed well before the connect timeout, so it was refused and the database process is down. */
     record ConnectionRefused(String endpointId) implements LeadershipEvidence {}
 
     /** A connection was lost before a request was completely sent, or before its reply was received. */
     record ConnectionLost(String endpointId) implements LeadershipEvidence {}
 
-    /** A request sent at {@code asOf} got no reply, or no connection was established, within the timeout. */
+    /**
+     * A health check sent at {@code asOf} got no reply in time, or the connection for a health check or an attempt sent
+     * at {@code asOf} was not established in time.
+     */
     record Unresponsive(String endpointId, long asOf) implements LeadershipEvidence {}
 
     /** The endpoint list shows the endpoint as draining or removed, or a full list does not contain it. */
     record Delisted(String endpointId) implements LeadershipEvidence {}
 
     /**
-     * The endpoint list shows the endpoint as up; after {@link Delisted}, it leads again only when it claims the
-     * role.
+     * The endpoint list shows the endpoint as up. After {@link Delisted}, a leader's claims are accepted again from
+     * then on; being listed does not make the endpoint the leader.
      */
     record ListedAsUp(String endpointId) implements LeadershipEvidence {}
 }
--- a/src/main/java/crankwick/failover/ReleaseWindow.java
+++ b/src/main/java/crankwick/failover/ReleaseWindow.java
@@ -4,7 +4,8 @@
 
 /**
  * Limits how many requests released to a new leader may be open at the same time. The window grows by one with each
- * attempt that ends in time, and shrinks by a factor with each attempt that is late or rejected as overloaded.
+ * attempt that ends in time, whatever its other result, and shrinks by a factor with each attempt that is late or
+ * rejected as overloaded.
  */
 final class ReleaseWindow {
     private static final double DECREASE_FACTOR = 0.7;
@@ -14,7 +15,7 @@
     private double size;
     private int openRequests;
 
-    /** Resets the window for a new leader. */
+    /** Resets the window for a new leader; requests released in earlier terms are no longer counted. */
     void reset(int initialSize) {
         size = initialSize;
         openRequests = 0;
--- a/src/main/java/crankwick/failover/RequestBuffer.java
+++ b/src/main/java/crankwick/failover/RequestBuffer.java
@@ -8,8 +8,9 @@
 
 /**
  * Buffers requests for one group's primary in order of release: earliest release deadline first, where each unit of
- * priority weight makes the deadline earlier by {@link #MICROS_PER_WEIGHT_UNIT}. The order depends only on the request
- * itself, which prevents starvation: requests that arrive later have later deadlines.
+ * priority weight makes the deadline earlier by {@link #MICROS_PER_WEIGHT_UNIT}. The order depends only on the requests
+ * themselves, not on the current time. This prevents starvation: after some time, all newly arriving requests have
+ * later deadlines than a buffered one.
  */
 final class RequestBuffer {
     private static final long MICROS_PER_WEIGHT_UNIT = 50_000;
@@ -26,7 +27,7 @@
         }
     }
 
-    /** The number and size of a team's buffered requests over all groups. */
+    /** The number of a team's buffered requests over all groups, and the total size of their statements. */
     static final class TeamUsage {
         int requests;
         long bytes;
@@ -46,7 +47,7 @@
         this.teamUsage = teamUsage;
     }
 
-    /** Adds a request; returns false if it would exceed a limit. */
+    /** Adds a request; returns false if it would exceed a limit of the group or of its team. */
     boolean add(BufferedRequest request) {
         TeamUsage usage = teamUsage.computeIfAbsent(request.team(), team -> new TeamUsage());
         boolean hasCapacity = byRequestId.size() < settings.maxBufferedPerGroup()
--- a/src/main/java/crankwick/failover/RequestTracker.java
+++ b/src/main/java/crankwick/failover/RequestTracker.java
@@ -33,7 +33,10 @@
         this.counters = counters;
     }
 
-    /** Returns a tracked request, or null if the request needs no primary or is finished. */
+    /**
+     * Returns a tracked request, or null if the request is not tracked: it needs no primary, its group was unknown, or
+     * it was denied admission or is finished.
+     */
     TrackedRequest find(long requestId) {
         return tracked.get(requestId);
     }
@@ -43,7 +46,7 @@
         return buffered;
     }
 
-    /** Decides on a received request. */
+    /** Decides whether a received request is routed, buffered, rejected or failed. */
     FailoverAdmission admit(IncomingRequest incomingRequest, long now) {
         RequestClass requestClass = routing.requestClasses().get(incomingRequest.classIndex());
         GroupState group = groups.group(incomingRequest.groupId());
@@ -62,7 +65,7 @@
             counters.recoveryUnlikely++;
             return rejectionOrFailure(request);
         }
-        // In a leaderless group one request is admitted, for which the router searches for the new leader.
+        // In a leaderless group one request at a time is admitted, for which the router searches for the new leader.
         boolean mustBuffer =
                 group.isLeaderless() ? group.hasReleased() : group.buffer().size() > 0;
         return mustBuffer ? buffer(request) : release(request);
@@ -111,7 +114,10 @@
         return FailoverAdmission.ADMIT;
     }
 
-    /** Returns FAIL if the request may have executed, because a rejection states that it has not executed. */
+    /**
+     * Returns FAIL if a request with the same key may have executed and a repeat may execute again, because a rejection
+     * states that a retry is safe.
+     */
     private static FailoverAdmission rejectionOrFailure(TrackedRequest request) {
         return request.hasUnknownOutcome() ? FailoverAdmission.FAIL : FailoverAdmission.REJECT;
     }
@@ -124,7 +130,10 @@
         return probability >= settings.minSuccessProbability();
     }
 
-    /** Decides whether an attempt may be sent; a granted attempt counts as sent at {@code now}. */
+    /**
+     * Decides whether an attempt may be sent; a granted attempt counts as sent at {@code now}. Attempts of requests
+     * that are not tracked are always granted.
+     */
     AttemptPermit permitAttempt(long requestId, String endpointId, long now) {
         TrackedRequest request = tracked.get(requestId);
         if (request == null) {
@@ -158,7 +167,7 @@
         removeIfFinished(request);
     }
 
-    /** Handles the completion of a request: its final reply was sent, or its client has disconnected. */
+    /** Handles the completion of a request: its final reply was sent, or its client has abandoned it. */
     void onRequestCompleted(long requestId) {
         TrackedRequest request = tracked.get(requestId);
         if (request != null) {
@@ -171,7 +180,10 @@
         }
     }
 
-    /** Moves a buffered request to the router; {@code paced} if the request counts in the group's release window. */
+    /**
+     * Removes a request from the buffer and marks it as released; {@code paced} if it counts in the group's release
+     * window.
+     */
     void releaseBuffered(TrackedRequest request, boolean paced) {
         GroupState group = request.group();
         removeFromBuffer(request);
--- a/src/main/java/crankwick/failover/TrackedRequest.java
+++ b/src/main/java/crankwick/failover/TrackedRequest.java
@@ -5,8 +5,8 @@
 import crankwick.routing.api.RequestClass;
 
 /**
- * A request that needs its group's primary, from its admission until it is answered and has no attempt in flight.
- * Its phase only advances; phases may be skipped.
+ * A request that needs its group's primary, from its admission until it is answered or abandoned and has no attempt in
+ * flight. Its phase only advances; phases may be skipped.
  */
 final class TrackedRequest {
     private enum Phase {
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Returns true if the last attempt started the key window; if it has not executed, the key has not executed
-     * either.
+     * Returns true if the last attempt started the key window; if that attempt has not executed, no request with the
+     * key has executed.
      */
     boolean attemptStartsKeyWindow() {
         return attemptStartsKeyWindow;
@@ -129,7 +129,7 @@
         return attemptEndpoint != null;
     }
 
-    /** Returns true if the request is answered and has no attempt in flight. */
+    /** Returns true if the request is answered or abandoned and has no attempt in flight. */
     boolean isFinished() {
         return isAnswered() && !isAttemptInFlight();
     }
--- a/src/main/java/crankwick/routing/AttemptTracker.java
+++ b/src/main/java/crankwick/routing/AttemptTracker.java
@@ -5,18 +5,23 @@
 import java.util.SplittableRandom;
 
 /**
- * Starts attempts and monitors those that run long: health-checks their endpoints, or cancels them to be retried
- * elsewhere.
+ * Starts attempts and monitors those of idempotent requests that run long: health-checks the endpoint of such an
+ * attempt, or cancels the attempt so that the request is retried at another endpoint. Does not monitor attempts if the
+ * settings do not allow health checks.
  */
 final class AttemptTracker {
-    /** The endpoint of an attempt is checked when the attempt takes this multiple of its expected duration. */
+    /** An attempt is first checked for running long when it takes this multiple of its expected duration. */
     private static final double LONG_RUNNING_FACTOR = 2.5;
     /**
-     * Added to {@link #LONG_RUNNING_FACTOR} for each factor of e in the cost of health checks: the number of
-     * attempts falls exponentially with their duration.
+     * Added to {@link #LONG_RUNNING_FACTOR} for each factor of e by which the cost of a health check exceeds the
+     * reference cost. A logarithmic increase is enough because the number of attempts falls exponentially with their
+     * duration.
      */
     private static final double LONG_RUNNING_COST_FACTOR = 2;
-    /** An attempt at an idle endpoint counts as lost when it takes this multiple of its expected duration. */
+    /**
+     * An attempt at an endpoint that is idle by its recent load report counts as lost when it takes longer than this
+     * multiple of its expected duration.
+     */
     private static final double LOST_ATTEMPT_FACTOR = 5;
 
     private final HealthChecker checker;
@@ -87,8 +92,8 @@
     }
 
     /**
-     * Whether the attempt is overdue at an endpoint whose recent report shows no queue, with enough time left for
-     * a useful retry.
+     * Whether the attempt is overdue although a recent load report shows that its endpoint has no queue and is not
+     * saturated, with enough time left for a useful retry.
      */
     private boolean isProbablyLost(PendingRequest request, long now) {
         EndpointState endpoint = request.endpoint();
--- a/src/main/java/crankwick/routing/ClientRetryDetector.java
+++ b/src/main/java/crankwick/routing/ClientRetryDetector.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Returns the estimated time at which the client sent its first attempt of the request. Unless the timeout of the
-     * request is short, also adds it to the estimate of the first-attempt timeout of the class.
+     * Returns the estimated time at which the client sent its first attempt of the request. A timeout that is not short
+     * also enters the estimate of the first-attempt timeout of the request's class.
      */
     long firstSentAt(RoutingRequest request, RequestClass requestClass, long now) {
         long timeout = request.expiresAt() - now;
--- a/src/main/java/crankwick/routing/ClientTimeoutEstimator.java
+++ b/src/main/java/crankwick/routing/ClientTimeoutEstimator.java
@@ -18,7 +18,10 @@
         this.tolerance = tolerance;
     }
 
-    /** Records a request's timeout; returns false if the first-attempt timeout is known and differs from this one. */
+    /**
+     * Records a request's timeout; returns false if the first-attempt timeout is known and differs from this one by
+     * more than the tolerance.
+     */
     boolean isFirstAttempt(long timeout) {
         boolean agrees = Math.abs(timeout - firstAttemptTimeout) <= tolerance;
         votes = Math.min(MAX_VOTES, votes + (agrees ? 1 : -1));
--- a/src/main/java/crankwick/routing/ConcurrencyLimit.java
+++ b/src/main/java/crankwick/routing/ConcurrencyLimit.java
@@ -8,9 +8,12 @@
  * may be too strict for a request class that is inherently slow.
  */
 final class ConcurrencyLimit {
-    /** Initial limit, summed over all proxies. */
+    /** Initial limit, summed over all proxies; a single proxy's initial limit is at least 1. */
     static final double INITIAL_FLEET_LIMIT = 18;
-    /** Minimum limit, summed over all proxies; also the minimum attempts per second for an endpoint in slow start. */
+    /**
+     * Minimum limit, summed over all proxies; a single proxy's minimum is at most 1. Also the minimum rate of attempts,
+     * summed over all proxies and per second, to an endpoint in slow start.
+     */
     static final double MIN_FLEET_LIMIT = 3;
 
     private static final double DECREASE_FACTOR = 0.8;
@@ -39,12 +42,18 @@
         inFlight--;
     }
 
-    /** Returns whether the limit admits another attempt to an endpoint with this fraction of its capacity. */
+    /**
+     * Returns whether the limit admits another attempt to an endpoint with this fraction of its capacity; one attempt
+     * in flight is always admitted.
+     */
     boolean allowsConcurrent(double capacityFraction) {
         return inFlight < Math.max(1, limit * capacityFraction * capacityFraction);
     }
 
-    /** Returns whether the minimum interval between attempts is over, for attempts that take {@code duration} each. */
+    /**
+     * Returns whether the minimum interval between attempts is over, for attempts that take {@code duration} each.
+     * Always true for a limit of 1 or more, which sets no minimum interval.
+     */
     boolean allowsRate(double duration, long now) {
         return limit >= 1 || now - lastSentAt >= duration / limit;
     }
--- a/src/main/java/crankwick/routing/EndpointGroup.java
+++ b/src/main/java/crankwick/routing/EndpointGroup.java
@@ -18,7 +18,7 @@
     private final Map<Long, PendingRequest> inFlight = new LinkedHashMap<>();
     private long timerDueAt = Long.MAX_VALUE;
     private EndpointState primary;
-    /** The write that attempts possible primaries while the primary is unknown, or null. */
+    /** The write that is sent to possible primaries, one after the other, while the primary is unknown; or null. */
     private PendingRequest primaryProbe;
 
     EndpointGroup(long id, int requestClasses) {
@@ -90,10 +90,11 @@
 
     /**
      * Records evidence of a role; the newest evidence prevails. A primary's position is the current time, so the
-     * position in a report serves as the time of a claim to be primary, and a replica claim with an older position
-     * does not replace it.
+     * position in a report serves as the time of a claim to be primary, and a report of the replica role with an older
+     * position does not replace it.
      *
-     * @return true if the primary changed or became unknown; false when a primary becomes known after none
+     * @return true if the primary changed or became unknown; false if nothing changed or a primary became known while
+     *     none was
      */
     boolean recordRole(EndpointState endpoint, Role role, long asOf) {
         if (!endpoint.updateRole(role, asOf)) {
@@ -113,7 +114,7 @@
         return newest;
     }
 
-    /** Whether the request may attempt possible primaries: no other request does. */
+    /** Whether the request may be sent to possible primaries, because no other request currently is. */
     boolean mayProbeForPrimary(PendingRequest request) {
         return primaryProbe == null || primaryProbe == request;
     }
@@ -135,7 +136,7 @@
         timerDueAt = due;
     }
 
-    /** Clears the timer if it is due; a timer that fires before the time set has no effect. */
+    /** Clears the timer if its time has come; a superseded timer that fires before that time clears nothing. */
     void clearDueTimer(long now) {
         timerDueAt = now >= timerDueAt ? Long.MAX_VALUE : timerDueAt;
     }
--- a/src/main/java/crankwick/routing/EndpointLatency.java
+++ b/src/main/java/crankwick/routing/EndpointLatency.java
@@ -24,7 +24,7 @@
         updatedAt = now;
     }
 
-    /** Discards the latency of the previous process of the endpoint. */
+    /** Resets the ratio to the baseline because the endpoint's process has been replaced. */
     void reset() {
         ratio = LatencyEstimates.BASELINE_LATENCY_RATIO;
     }
--- a/src/main/java/crankwick/routing/EndpointObserver.java
+++ b/src/main/java/crankwick/routing/EndpointObserver.java
@@ -32,11 +32,14 @@
             AttemptResult.UNREACHABLE,
             AttemptResult.CONNECTION_LOST_BEFORE_SEND);
 
-    /** A response that takes more than this fraction of the latency objective lowers the concurrency limit. */
+    /**
+     * A successful response that takes more than this fraction of the latency objective lowers the endpoint's
+     * concurrency limit.
+     */
     private static final double SLOW_RESPONSE_FRACTION = 0.45;
-    /** A replica whose reported lag exceeds this has its concurrency limit lowered. */
+    /** Each load report of a replica lowers the replica's concurrency limit if its lag exceeds this. */
     private static final long HIGH_LAG_MICROS = 600 * MICROS_PER_MILLI;
-    /** The assumed age of the role in a response. */
+    /** The assumed age of the role in the response to an attempt. */
     private static final long RESPONSE_ROLE_AGE_MICROS = 5 * MICROS_PER_MILLI;
     /** The role in the endpoint list is a hint: any role that the endpoint itself reports counts as newer. */
     private static final long LISTED_ROLE_AS_OF = Long.MIN_VALUE + 1;
@@ -60,7 +63,10 @@
         this.random = random;
     }
 
-    /** Records the start time and the role in an entry of the endpoint list. */
+    /**
+     * Records the start time in an entry of the endpoint list, and the role if it is PRIMARY and the endpoint's role is
+     * still unknown.
+     */
     void recordListEntry(EndpointState endpoint, Endpoint entry, long now, RoutingActions actions) {
         if (entry.startedAt() > endpoint.slowStart().startedAt()) {
             recordRestart(endpoint, entry.startedAt(), "restarted", now, actions);
@@ -113,8 +119,8 @@
     }
 
     /**
-     * Whether the position in the outcome is the endpoint's own. In the response to a write it is the position of
-     * the commit, which a replica may not have applied.
+     * Whether the position in the outcome is known to be reached by the endpoint. In the response to a write it is the
+     * position of the commit, which a replica may not have applied. A position reported without a role is not used.
      */
     private static boolean carriesEndpointPosition(AttemptOutcome outcome, boolean isCommit) {
         return outcome.position() != AbsentValue.NONE
@@ -140,7 +146,7 @@
             case REJECTED_OVERLOADED, TIMEOUT -> endpoint.concurrency().decrease();
             case UNREACHABLE -> recordUnreachable(endpoint, outcome.duration(), now, actions);
             default -> {
-                // The other results give no information beyond success or failure.
+                // The other results need no handling beyond that in recordOutcome.
             }
         }
     }
--- a/src/main/java/crankwick/routing/EndpointRegistry.java
+++ b/src/main/java/crankwick/routing/EndpointRegistry.java
@@ -46,7 +46,7 @@
         return new EndpointGroup(id, settings.requestClasses().size());
     }
 
-    /** Marks every endpoint as unlisted, before a full list is applied. */
+    /** Marks every endpoint as unlisted, before a complete list (FULL or RESTORED) is applied. */
     void unlistAll(long now) {
         endpoints.values().forEach(endpoint -> endpoint.unlist(now));
     }
--- a/src/main/java/crankwick/routing/EndpointState.java
+++ b/src/main/java/crankwick/routing/EndpointState.java
@@ -8,9 +8,15 @@
 import crankwick.routing.api.Role;
 import crankwick.routing.api.RoutingSettings;
 
-/** This proxy's state of one endpoint: its list status and role, and one object per further concern. */
+/**
+ * This proxy's state of one endpoint: its status in the endpoint list and its role, and one object each for its
+ * position, load, latency, outlier ejection, concurrency limit, health and slow start.
+ */
 final class EndpointState {
-    /** An unlisted endpoint is removed after this time without a response. */
+    /**
+     * An endpoint without an attempt in flight is removed this long after it was unlisted or last responded, whichever
+     * is later.
+     */
     private static final long UNLISTED_RETENTION_MICROS = 30 * MICROS_PER_SECOND;
 
     private final String id;
@@ -80,13 +86,16 @@
         return slowStart;
     }
 
-    /** Records the status in the endpoint list; an endpoint that is unlisted while draining remains draining. */
+    /**
+     * Records the status in the endpoint list; an endpoint that is unlisted while draining remains draining until it is
+     * listed as live.
+     */
     void updateStatus(EndpointStatus status, long now) {
         setListed(status != EndpointStatus.REMOVED, now);
         draining = status == EndpointStatus.DRAINING || draining && !listed;
     }
 
-    /** Records that the endpoint is missing from a full list. */
+    /** Records that the endpoint is not in the endpoint list. */
     void unlist(long now) {
         setListed(false, now);
     }
@@ -101,7 +110,10 @@
         return !draining && (listed || usableWhenUnlisted);
     }
 
-    /** Returns whether the endpoint is available, not ejected and not unresponsive. */
+    /**
+     * Returns whether the endpoint is available, not ejected and not unresponsive for longer than
+     * {@link HealthStatus#UNHEALTHY_AFTER_MICROS}.
+     */
     boolean isHealthy(long now) {
         return isAvailable()
                 && !outlier.isEjected()
--- a/src/main/java/crankwick/routing/FleetActivity.java
+++ b/src/main/java/crankwick/routing/FleetActivity.java
@@ -4,7 +4,7 @@
 
 import crankwick.routing.api.LoadReport;
 
-/** This proxy's rate of attempts to all endpoints, and the mean utilization of the endpoints. */
+/** This proxy's rate of attempts to all endpoints, and the mean utilization that warm endpoints report. */
 final class FleetActivity {
     /** Time constant of the decaying count of attempts. */
     static final long SEND_RATE_WINDOW_MICROS = 5 * MICROS_PER_SECOND;
@@ -16,7 +16,7 @@
     private double utilization = 1;
     private boolean endpointsReportLoad;
 
-    /** Returns whether any load report has included the load of its endpoint. */
+    /** Returns whether any load report so far has included a queue length, requests in flight or a utilization. */
     boolean endpointsReportLoad() {
         return endpointsReportLoad;
     }
@@ -39,7 +39,7 @@
         return attempts.at(now);
     }
 
-    /** Returns this proxy's share of the capacity of one warm endpoint, in attempts per second. */
+    /** Returns the estimate of this proxy's share of the capacity of one warm endpoint, in attempts per second. */
     double capacityPerEndpoint(long warmEndpoints, long now) {
         return attempts.at(now)
                 * MICROS_PER_SECOND
--- a/src/main/java/crankwick/routing/HealthCheckBudget.java
+++ b/src/main/java/crankwick/routing/HealthCheckBudget.java
@@ -1,10 +1,16 @@
 package crankwick.routing;
 
-/** The budget for health checks, which have a cost: each request adds to the balance, each health check takes one. */
+/**
+ * The budget for health checks, which have a cost. The balance is a number of health checks: each request adds to it,
+ * each health check takes 1 from it.
+ */
 final class HealthCheckBudget {
     private static final double MAX_CHECK_BALANCE = 40;
     private static final double MAX_CHECKS_PER_REQUEST = 1;
-    /** The cost of health checks, in points, that each request adds to the budget. */
+    /**
+     * The cost of health checks, in points, that each request adds to the budget; at most one health check per request
+     * is added.
+     */
     private static final double COST_PER_REQUEST = 0.03;
     /** The cost of a health check, in points, up to which the intervals between health checks are not extended. */
     private static final double REFERENCE_COST = 0.02;
--- a/src/main/java/crankwick/routing/HealthCheckScheduler.java
+++ b/src/main/java/crankwick/routing/HealthCheckScheduler.java
@@ -7,12 +7,16 @@
 import java.util.ArrayDeque;
 
 /**
- * Selects the endpoints to health-check for queued requests. For a read that no replica can serve yet, one replica
- * at a time is checked. For a request that needs the primary, the primary is checked if it has not responded
- * recently, and every endpoint of the group if the primary is unknown or unhealthy.
+ * Selects the endpoints to health-check for queued requests. For a read that no replica can serve yet, one replica at a
+ * time is checked; if none needs a check and the replicas only lack capacity, the primary is checked for a recent load
+ * report. For a request that needs the primary, the primary is checked if it has not responded recently, and every
+ * endpoint of the group if the primary is unknown or unhealthy.
  */
 final class HealthCheckScheduler {
-    /** The minimum interval between checks of a replica that is unresponsive or lags far behind. */
+    /**
+     * The minimum interval between checks of a replica that is unresponsive or lags far behind, before it is multiplied
+     * by the cost factor.
+     */
     private static final long LONG_CHECK_INTERVAL_MICROS = 500 * MICROS_PER_MILLI;
     /** A replica lags far behind if it cannot become fresh within this time. */
     private static final long CATCH_UP_HORIZON_MICROS = MICROS_PER_SECOND;
@@ -115,8 +119,8 @@
     }
 
     /**
-     * Whether the result may make the request servable. A replica that is unresponsive or lags far behind is
-     * checked at the long interval only.
+     * Whether a health check of the endpoint may show that it can serve the request. A replica that is unresponsive or
+     * lags far behind is checked at the long interval only.
      */
     private boolean isUsefulToCheck(EndpointState endpoint, PendingRequest request, long now) {
         HealthStatus health = endpoint.health();
--- a/src/main/java/crankwick/routing/LatencyEstimates.java
+++ b/src/main/java/crankwick/routing/LatencyEstimates.java
@@ -19,7 +19,7 @@
     /** Observed latencies decay over this time, so that a slow endpoint is eventually selected again. */
     static final long LATENCY_DECAY_MICROS = 2 * MICROS_PER_SECOND;
 
-    /** A low quantile, which overload hardly raises. */
+    /** The typical duration is this quantile of the durations: a low one, which overload hardly raises. */
     private static final double TYPICAL_DURATION_QUANTILE = 0.3;
 
     private static final double TYPICAL_DURATION_GAIN = 0.02;
@@ -63,7 +63,10 @@
         return roleRatios.get(role).at(now);
     }
 
-    /** Returns the latency ratio observed in the endpoint's own responses. */
+    /**
+     * Returns the latency ratio observed in the endpoint's own responses; it decays while no attempt is in flight, for
+     * a replica towards the mean ratio of replicas, otherwise towards the baseline.
+     */
     double observedRatio(EndpointState endpoint, long now) {
         if (endpoint.concurrency().inFlight() > 0) {
             return endpoint.latency().lastRatio();
--- a/src/main/java/crankwick/routing/LoadShedder.java
+++ b/src/main/java/crankwick/routing/LoadShedder.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Whether the endpoint is expected to respond in time. A request with less than half of its latency
-     * objective left is allowed half of the objective.
+     * Whether the endpoint is expected to respond in time. If less than half of the request's latency objective is
+     * left, the endpoint may take half of the objective from now.
      */
     boolean canRespondInTime(EndpointState endpoint, PendingRequest request, long now) {
         long objective = request.requestClass().latencyObjective();
@@ -60,7 +60,7 @@
         return settings.proxyCount() > ConcurrencyLimit.INITIAL_FLEET_LIMIT;
     }
 
-    /** Whether the response to the request, sent now, would be useless even from an idle endpoint. */
+    /** Whether the request, sent now, would be answered too late to be of any use even by an idle endpoint. */
     boolean isTooLateToSend(PendingRequest request, long now) {
         return now + latency.baselineDuration(request) > request.lastUsefulAt();
     }
--- a/src/main/java/crankwick/routing/OpenRequests.java
+++ b/src/main/java/crankwick/routing/OpenRequests.java
@@ -16,7 +16,7 @@
 final class OpenRequests {
     /** Retry-After if the group has no available endpoint; short, as another proxy may know one. */
     private static final long NO_ENDPOINT_RETRY_AFTER_MICROS = 80 * MICROS_PER_MILLI;
-    /** Retry-After as a multiple of the latency objective. */
+    /** Retry-After as a multiple of the latency objective, if the group has an available endpoint. */
     private static final long RETRY_AFTER_OBJECTIVE_MULTIPLE = 2;
 
     private final Map<Long, PendingRequest> requests = new HashMap<>();
@@ -41,7 +41,10 @@
         enqueue(request);
     }
 
-    /** Queues the newest request first: under overload, oldest first would make every response late. */
+    /**
+     * Adds the request at the front of its queue, so that the newest is served first: under overload, oldest first
+     * would make every response late.
+     */
     private static void enqueue(PendingRequest request) {
         request.group().queue(request.classIndex()).addFirst(request);
     }
--- a/src/main/java/crankwick/routing/OutlierDetector.java
+++ b/src/main/java/crankwick/routing/OutlierDetector.java
@@ -11,11 +11,17 @@
  * backoff succeeds. If all endpoints fail for a common external cause, all are ejected and get only trials.
  */
 final class OutlierDetector {
-    /** Failure rate above which the endpoint is ejected; up to one half, it still serves most attempts. */
+    /**
+     * Failure rate above which the endpoint is ejected; at a rate up to one half, the endpoint still serves most
+     * attempts.
+     */
     private static final double EJECTION_FAILURE_RATE = 0.5;
 
     private static final double FAILURE_RATE_GAIN = 0.2;
-    /** Longer than short pauses of a healthy endpoint; doubled for each recent fault. */
+    /**
+     * The ejection time without other recent faults, longer than short pauses of a healthy endpoint; doubled for each
+     * other recent fault or ejection.
+     */
     private static final long INITIAL_EJECTION_MICROS = 400 * MICROS_PER_MILLI;
 
     private static final long MAX_EJECTION_MICROS = 4 * MICROS_PER_SECOND;
@@ -35,12 +41,15 @@
         return ejectedUntil <= now;
     }
 
-    /** Records a fault that lowers the selection weight of the endpoint without ejecting it. */
+    /**
+     * Records a fault that does not eject the endpoint, but lowers its selection weight and lengthens its next
+     * ejection.
+     */
     void recordFault(long now) {
         recentFaults.add(now);
     }
 
-    /** Records a failed attempt; returns true if this ejected the endpoint. */
+    /** Records a failed attempt; returns true if this ejected the endpoint and it was not already ejected. */
     boolean recordFailure(long now, SplittableRandom random) {
         failureRate += FAILURE_RATE_GAIN * (1 - failureRate);
         if (failureRate <= EJECTION_FAILURE_RATE || ejectedUntil > now) {
@@ -81,7 +90,10 @@
         return true;
     }
 
-    /** Discards the failures of the previous process of the endpoint. */
+    /**
+     * Ends the ejection and resets the failure rate because the endpoint's process has been replaced; recent faults
+     * still count.
+     */
     void reset() {
         failureRate = 0;
         ejectedUntil = AbsentValue.NONE;
--- a/src/main/java/crankwick/routing/PendingRequest.java
+++ b/src/main/java/crankwick/routing/PendingRequest.java
@@ -12,7 +12,7 @@
 
 /** A request that has no final answer yet, or whose attempt is still in flight. */
 final class PendingRequest {
-    /** Final answers are given this long before the client's deadline. */
+    /** Final answers are given at least this long before the client's deadline. */
     static final long RESPONSE_MARGIN_MICROS = 30 * MICROS_PER_MILLI;
 
     private final RoutingRequest request;
@@ -26,7 +26,9 @@
     private long attemptSentAt;
     private long nextCheckAt;
     private boolean closed;
-    /** The endpoint that may have executed an attempt, or null, and the time when that attempt was sent. */
+    /**
+     * The endpoint of the first attempt that may have been executed, or null, and the time when that attempt was sent.
+     */
     private EndpointState possibleExecutionEndpoint;
 
     private long possibleExecutionSince;
@@ -91,12 +93,15 @@
         return attemptSentAt;
     }
 
-    /** When the attempt in flight is next checked for running too long. */
+    /** When the attempt in flight is next checked for running too long; {@link Long#MAX_VALUE} for never. */
     long nextCheckAt() {
         return nextCheckAt;
     }
 
-    /** Whether the request needs no answer: it has been answered, or its client has abandoned it. */
+    /**
+     * Whether the request needs no answer: it has been answered, its response has started, or its client has abandoned
+     * it.
+     */
     boolean isClosed() {
         return closed;
     }
--- a/src/main/java/crankwick/routing/PrimaryReadFallback.java
+++ b/src/main/java/crankwick/routing/PrimaryReadFallback.java
@@ -4,7 +4,7 @@
 
 /** Decides when the primary may serve reads that replicas normally serve. */
 final class PrimaryReadFallback {
-    /** A primary has capacity for reads if its utilization is below this. */
+    /** A primary has capacity for reads if its reported queue is empty and its utilization is below this. */
     private static final double MAX_IDLE_UTILIZATION = 0.8;
 
     private final ReplicaFreshness freshness;
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Whether the primary is idle, by its own recent report and with no write in flight, while the fresh replicas
-     * lack capacity. This keeps a few replicas from being overloaded next to an idle primary. Drawback: many proxies
-     * may act on the same report. In a large fleet without load reports, the mean latency of the primaries must not
-     * exceed that of idle endpoints.
+     * Whether the primary is idle while the fresh replicas lack capacity. It is idle if its own recent report says so
+     * and this proxy has no write or strong read in flight at it. This keeps a few replicas from being overloaded next
+     * to an idle primary. Drawback: many proxies may act on the same report. In a large fleet whose reports include no
+     * load, the mean latency of the primaries must also not exceed that of idle endpoints.
      */
     private boolean hasIdlePrimary(PendingRequest request, long now) {
         EndpointState primary = request.group().primary();
--- a/src/main/java/crankwick/routing/ReplicationPosition.java
+++ b/src/main/java/crankwick/routing/ReplicationPosition.java
@@ -5,7 +5,7 @@
 
 /** The replication progress of one endpoint: its highest observed log position and the time of observation. */
 final class ReplicationPosition {
-    /** A replica observed with a lag below this may have caught up since. */
+    /** A replica last observed with a lag below this is assumed to have advanced by at least this since. */
     private static final long SMALL_LAG_MICROS = 500 * MICROS_PER_MILLI;
 
     private static final long INELIGIBLE_BACKOFF_MICROS = 40 * MICROS_PER_MILLI;
@@ -14,7 +14,7 @@
     private long observedAt = NEVER;
     private long ineligibleAt = NEVER;
 
-    /** Records an observed position; lower positions than the known one are ignored. */
+    /** Records an observed position; positions that are not higher than the known one are ignored. */
     void advance(long observed, long now) {
         if (observed > position) {
             position = observed;
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Records that the endpoint rejected a read because its position was too old. */
+    /** Records that the endpoint rejected a request as {@code INELIGIBLE_REPLICA}. */
     void recordIneligible(long now) {
         ineligibleAt = now;
     }
@@ -40,15 +40,20 @@
         return now - position;
     }
 
-    /** Returns whether replication may reach the required position within {@code horizon} from now. */
+    /**
+     * Returns whether the endpoint may reach the required position within {@code horizon} from now, if its lag does not
+     * grow.
+     */
     boolean mayReachWithin(long horizon, long required, long now) {
         long maxProgress = horizon + now - observedAt;
         return required - position < maxProgress;
     }
 
     /**
-     * Returns whether an endpoint that checks its own position may serve the read. The lag is assumed to be the same
-     * as at the last observation, or zero if the position was never observed.
+     * Returns whether an endpoint that checks its own position may serve the read. The lag is assumed not to have grown
+     * since the last observation. If it was small, the endpoint may also have caught up; if no position was ever
+     * observed, any position may have been reached. Returns false shortly after the endpoint has rejected a request as
+     * ineligible.
      */
     boolean mayHaveReached(long required, long now) {
         boolean hadSmallLag = observedLag() < SMALL_LAG_MICROS;
--- a/src/main/java/crankwick/routing/ReportedLoad.java
+++ b/src/main/java/crankwick/routing/ReportedLoad.java
@@ -6,7 +6,10 @@
 
 import crankwick.routing.api.LoadReport;
 
-/** The load of one endpoint according to its last load report, which covers the requests of all proxies. */
+/**
+ * The load of one endpoint according to its last load report, which covers the requests of all proxies. A value that
+ * the report does not include counts as 0.
+ */
 final class ReportedLoad {
     private static final long RECENT_REPORT_MICROS = 300 * MICROS_PER_MILLI;
     /** The effect of a report on the expected latency decays linearly to zero over this time. */
@@ -46,7 +49,7 @@
         return now - reportedAt <= RECENT_REPORT_MICROS;
     }
 
-    /** Returns whether a recent report shows an empty queue and a utilization below the maximum. */
+    /** Returns whether a recent report shows an empty queue and a utilization below {@code maxUtilization}. */
     boolean isIdle(double maxUtilization, long now) {
         return isRecent(now) && queueLength == 0 && utilization < maxUtilization;
     }
--- a/src/main/java/crankwick/routing/RequestDispatcher.java
+++ b/src/main/java/crankwick/routing/RequestDispatcher.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Dispatches a group's queued requests: sends those for which an endpoint is eligible, rejects or fails those that
- * can no longer be answered in time, and sets the group's timer.
+ * Dispatches a group's queued requests: sends those for which an endpoint is eligible, rejects or fails those that can
+ * no longer be answered in time or whose group has no available endpoint, and sets the group's timer.
  */
 final class RequestDispatcher {
     private static final long QUEUE_CHECK_INTERVAL_MICROS = HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS;
--- a/src/main/java/crankwick/routing/Router.java
+++ b/src/main/java/crankwick/routing/Router.java
@@ -20,10 +20,11 @@
 /**
  * Decides, for one proxy, which endpoint of a group serves each request.
  *
- * <p>A session read is served by a replica that is known to have reached the log position of its session's last
- * write. If no replica has, the read is queued while health checks look for one, and is rejected with a Retry-After
- * when it can no longer be answered in time. Writes and strong reads go to the primary. This class only sequences
- * the handling of each event; its components make the decisions. See docs/design.md.
+ * <p>A session read is normally served by a replica that is known to have reached the log position of its session's
+ * last write. If no such replica is eligible, the read is sent to a replica that may have reached the position and
+ * checks it itself or, as a fallback, to the primary. Otherwise it is queued while health checks look for a replica,
+ * and is rejected with a Retry-After when it can no longer be answered in time. Writes and strong reads go to the
+ * primary. This class only sequences the handling of each event; its components make the decisions. See docs/design.md.
  */
 public final class Router {
     private final List<RequestClass> requestClasses;
@@ -163,7 +164,7 @@
         }
     }
 
-    /** The timer identifier of a group; 0 belongs to the discovery watch. */
+    /** The identifier of a group's timer, the group's identifier plus 1; 0 is the timer of the discovery watch. */
     static long groupTimerId(EndpointGroup group) {
         return group.id() + 1;
     }
--- a/src/main/java/crankwick/routing/SessionTokenStore.java
+++ b/src/main/java/crankwick/routing/SessionTokenStore.java
@@ -5,8 +5,9 @@
 import java.util.Map;
 
 /**
- * Stores the log position of the last write of each session, which its reads must see. The number of sessions is
- * bounded: the least recently used ones are evicted, and all evicted sessions share the highest evicted position.
+ * Stores the highest log position of the writes of each session, which reads of the session must see. The number of
+ * sessions is bounded: the least recently used ones are evicted, and all evicted sessions share the highest evicted
+ * position.
  */
 final class SessionTokenStore {
     private static final int MAX_SESSIONS = 20_000;
@@ -14,7 +15,10 @@
     private final Map<Long, Long> positions = new LinkedHashMap<>(16, 0.75f, true);
     private long evictedPosition = Long.MIN_VALUE;
 
-    /** Returns the position that reads of the session must see, or {@code Long.MIN_VALUE} if none is known. */
+    /**
+     * Returns the position that reads of the session must see. For a session that is not stored this is the highest
+     * evicted position, or {@code Long.MIN_VALUE} if none was evicted.
+     */
     long get(long session) {
         return positions.getOrDefault(session, evictedPosition);
     }
--- a/src/main/java/crankwick/routing/SlowStart.java
+++ b/src/main/java/crankwick/routing/SlowStart.java
@@ -26,7 +26,7 @@
         return now - start < rules.slowStartDuration();
     }
 
-    /** Returns the fraction of its capacity that the endpoint has at least, by the worst case of the rules. */
+    /** Returns the minimum fraction of its full capacity that the endpoint has now according to the rules. */
     double capacityFraction(long now) {
         long duration = rules.slowStartDuration();
         if (startedAt <= 0 || now - startedAt >= duration) {
@@ -47,7 +47,10 @@
         creditUpdatedAt = now;
     }
 
-    /** Accrues credit at this rate, in attempts per second, and returns whether it covers an attempt. */
+    /**
+     * Accrues credit at this rate, in attempts per second, up to a maximum, and returns whether the credit covers an
+     * attempt.
+     */
     boolean earnCredit(double rate, long now) {
         credit = Math.min(MAX_CREDIT, credit + rate * (now - creditUpdatedAt) / MICROS_PER_SECOND);
         creditUpdatedAt = now;
--- a/src/main/java/crankwick/routing/WeightedSelection.java
+++ b/src/main/java/crankwick/routing/WeightedSelection.java
@@ -6,11 +6,14 @@
 
 /** Weighted random selection among the replicas of a group. */
 final class WeightedSelection {
-    /** The weight is the cost to the negative of this power; with 1, queue lengths differ too much. */
+    /**
+     * The weight of a replica falls with this power of its cost; with an exponent of 1, the queue lengths of replicas
+     * differ too much.
+     */
     private static final double COST_EXPONENT = 2;
     /** Converts the cross-zone cost of the settings to an increase of the selection cost. */
     private static final double CROSS_ZONE_PENALTY = 50;
-    /** Weight factor of an endpoint to which the request has already been sent. */
+    /** The weight of an endpoint to which the request has already been sent is multiplied by this. */
     private static final double RETRY_PENALTY = 0.01;
     /** Added to each weight to keep it positive. */
     private static final double MIN_WEIGHT = 1e-12;
--- a/src/main/java/crankwick/routing/api/AttemptResult.java
+++ b/src/main/java/crankwick/routing/api/AttemptResult.java
@@ -12,17 +12,23 @@
     TIMEOUT(false),
     /** The connection was refused or not established within the connect timeout. */
     UNREACHABLE(true),
-    /** The connection was not refused, but lost before the last byte of the request was written. */
+    /** The connection failed before the last byte of the request was written, but was not refused. */
     CONNECTION_LOST_BEFORE_SEND(true),
     /** The connection was reset after the request was written; the request may have been executed. */
     RESET(false),
-    /** A reused connection failed at the start of the attempt because it had already been closed undetected. */
+    /**
+     * A reused connection failed right after the request was written, probably because the endpoint had closed it
+     * earlier; the request may have been executed.
+     */
     STALE_CONNECTION(false),
     /** This proxy cancelled the attempt; the request may have been executed. */
     CANCELLED(false),
-    /** The attempt was not sent. */
+    /** The attempt was not sent to the endpoint. */
     NOT_SENT(true),
-    /** The replica can't serve the request: it is a write, or a read that needs a later log position. */
+    /**
+     * The endpoint is a replica and rejected the request without executing it: the request is a write, or a read that
+     * needs a later log position.
+     */
     INELIGIBLE_REPLICA(true);
 
     private final boolean provesNotExecuted;
--- a/src/main/java/crankwick/routing/api/RequestAbandoned.java
+++ b/src/main/java/crankwick/routing/api/RequestAbandoned.java
@@ -1,4 +1,4 @@
 package crankwick.routing.api;
 
-/** The client has closed its connection or cancelled the request and expects no answer. */
+/** The request needs no answer from the router: its client has abandoned it, or the caller has answered it. */
 public record RequestAbandoned(long requestId) implements RoutingEvent {}
--- a/src/main/java/crankwick/routing/api/RoutingSettings.java
+++ b/src/main/java/crankwick/routing/api/RoutingSettings.java
@@ -26,7 +26,7 @@
         RoutingLimits limits,
         CostWeights costs,
         List<RequestClass> requestClasses) {
-    /** Validates all fields; throws IllegalArgumentException naming the first invalid one. */
+    /** Validates all fields but {@code zone}; throws IllegalArgumentException naming the first invalid one. */
     public RoutingSettings {
         require(proxyCount >= 1, "proxyCount");
         require(staleReadPolicy != null, "staleReadPolicy");
