--- a/src/main/java/crankwick/broker/Reply.java
+++ b/src/main/java/crankwick/broker/Reply.java
@@ -5,7 +5,8 @@
     /**
      * Why a request was rejected or failed. Protocols with error numbers have a separate number for each reason.
      *
-     * <p>NO_PRIMARY: the failover of the request's group is expected to take longer than the request can wait, or a
+     * <p>GIVEN_UP: the router rejected or failed the request. NO_OUTCOME: the request's deadline passed without a
+     * reply. NO_PRIMARY: the failover of the request's group is expected to take longer than the request can wait, or a
      * limit of the request buffer is exceeded. KEY_IN_DOUBT: a request with the same key may have executed, and a
      * repeat is not safe. OVER_KEYS: the registry of idempotency keys is full. OVER_OPEN_COMMANDS: the connection has
      * too many unanswered commands, or too large ones.
--- a/src/main/java/crankwick/failover/FailoverDecisions.java
+++ b/src/main/java/crankwick/failover/FailoverDecisions.java
@@ -71,8 +71,8 @@
 
     /**
      * Rejects or fails the buffered requests of a leaderless group that are unlikely to be served in time. Also fails
-     * such released requests that may have executed and have no attempt in flight; the router handles the other
-     * released requests.
+     * the released requests that are equally unlikely to be served, may have executed and have no attempt in flight;
+     * the router handles the other released requests.
      */
     private void rejectUnlikelyRequests(GroupState group, long now, FailoverActions actions) {
         for (RequestBuffer.BufferedRequest entry : group.buffer().all()) {
--- a/src/main/java/crankwick/failover/GroupRegistry.java
+++ b/src/main/java/crankwick/failover/GroupRegistry.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns the group of an endpoint in a list update. An unknown endpoint is added, unless it is listed as removed;
-     * null is returned then.
+     * Returns the group of an endpoint in a list update, and adds the endpoint if it is unknown. Returns null and adds
+     * nothing if the endpoint is unknown and listed as removed.
      */
     GroupState groupOfListedEndpoint(Endpoint endpoint) {
         GroupState group = groupByEndpoint.get(endpoint.id());
--- a/src/main/java/crankwick/routing/EndpointObserver.java
+++ b/src/main/java/crankwick/routing/EndpointObserver.java
@@ -178,9 +178,9 @@
     }
 
     /**
-     * Records a response. An endpoint that responds after refusing connections is assumed to have restarted, which
-     * the endpoint list may not show yet. If it refused connections because of a connection limit, the slow start
-     * is unnecessary.
+     * Records a response. An endpoint that responds after refusing connections is assumed to have restarted, which the
+     * endpoint list may not show yet. Drawback: an endpoint that refused connections only because of a connection limit
+     * also goes through a slow start.
      */
     private void recordResponse(EndpointState endpoint, long now, RoutingActions actions) {
         if (endpoint.health().recordResponse(now)) {
--- a/src/main/java/crankwick/routing/EndpointSelector.java
+++ b/src/main/java/crankwick/routing/EndpointSelector.java
@@ -54,7 +54,10 @@
                 : replica;
     }
 
-    /** Selects the primary. While the primary is unknown, one write at a time attempts each possible primary once. */
+    /**
+     * Selects the primary. While the primary is unknown, one write at a time is sent to each possible primary in turn,
+     * once to each.
+     */
     private EndpointState selectPrimary(PendingRequest request, long now) {
         EndpointGroup group = request.group();
         EndpointState primary = group.primary();
--- a/src/main/java/crankwick/routing/SlowStartBudget.java
+++ b/src/main/java/crankwick/routing/SlowStartBudget.java
@@ -3,10 +3,11 @@
 import crankwick.routing.api.RoutingSettings;
 
 /**
- * Limits the attempts sent to an endpoint in slow start. Its credit accrues at this proxy's share of the rate that
- * the rules allow. The share of a warm endpoint's capacity is derived from the attempts sent per warm endpoint and
- * the mean utilization, over all groups, so that it is known even if a whole group is in slow start. Because every
- * proxy applies the limit, the total load stays below the overload multiple of the rules.
+ * Limits the attempts sent to an endpoint in slow start. The endpoint's credit accrues at this proxy's share of the
+ * rate that the rules allow, or at a minimum rate if that is higher. The share of a warm endpoint's capacity is derived
+ * from the attempts sent per warm endpoint and the mean utilization, over all groups, so that it is known even if a
+ * whole group is in slow start. Because every proxy applies the limit, the total load stays below the overload multiple
+ * of the rules.
  */
 final class SlowStartBudget {
     /** The fraction of the allowed rate that is used. */
--- a/src/main/java/crankwick/routing/api/RoutingActions.java
+++ b/src/main/java/crankwick/routing/api/RoutingActions.java
@@ -5,7 +5,9 @@
     /** Starts an attempt with a timeout; {@link AbsentValue#NONE} stands for the client's remaining time. */
     void send(long requestId, String endpointId, long timeout);
 
-    /** Answers the request as rejected without effect, with a retry-after time or 0 for none. */
+    /**
+     * Answers the request as rejected, so that the client can safely retry it, with a retry-after time or 0 for none.
+     */
     void reject(long requestId, long retryAfter);
 
     /** Answers the request as failed; whether it took effect is unknown. */
