--- a/src/main/java/crankwick/routing/api/AttemptResult.java
+++ b/src/main/java/crankwick/routing/api/AttemptResult.java
@@ -14,7 +14,10 @@
     UNREACHABLE(true),
     /** The connection failed before the last byte of the request was written, but was not refused. */
     CONNECTION_LOST_BEFORE_SEND(true),
-    /** The connection was reset after the request was written; the request may have been executed. */
+    /**
+     * The connection was lost, or closed because of an invalid response, after the request was written; the request may
+     * have been executed.
+     */
     RESET(false),
     /**
      * A reused connection failed right after the request was written, probably because the endpoint had closed it
