--- a/src/main/java/crankwick/app/Commands.java
+++ b/src/main/java/crankwick/app/Commands.java
@@ -7,7 +7,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The picocli command line. {@link Main} starts {@code serve} and {@code simhost} directly if they need no parsing. */
+/**
+ * The picocli command line. {@link Main} starts {@code serve} and {@code simhost} without it if they are given without
+ * options.
+ */
 @Command(
         name = "crankwick",
         description = "A broker between services and groups of replicated databases.",
@@ -18,7 +21,10 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs a command; returns 0, 1 if a check found a violation, or 2 after one line for invalid usage. */
+    /**
+     * Runs a command. Returns 0; 1 if a check found a violation or the command threw an exception; or 2 after one line
+     * on standard error if the usage is invalid.
+     */
     static int run(String... args) {
         return new CommandLine(new Commands())
                 .setParameterExceptionHandler(Commands::reportInvalidUsage)
--- a/src/main/java/crankwick/app/ConfigTable.java
+++ b/src/main/java/crankwick/app/ConfigTable.java
@@ -9,7 +9,10 @@
 import org.tomlj.TomlInvalidTypeException;
 import org.tomlj.TomlTable;
 
-/** Typed access to a TOML table; each method throws an IllegalArgumentException with the path of an invalid key. */
+/**
+ * Typed access to a TOML table. For an invalid or missing key, methods throw an IllegalArgumentException with the key's
+ * path; the methods that return a nested table give only the key.
+ */
 final class ConfigTable {
     private final TomlTable table;
     private final String pathPrefix;
@@ -37,7 +40,7 @@
         }
     }
 
-    /** A required nested table; the error contains only the key, without the path prefix. */
+    /** A required nested table; an error names only the key, without the path prefix. */
     ConfigTable requiredTable(String key) {
         ConfigTable nested = optionalTable(key);
         if (nested == null) {
@@ -46,7 +49,7 @@
         return nested;
     }
 
-    /** A nested table, or null if the key is missing. */
+    /** A nested table, or null if the key is missing; an error names only the key, without the path prefix. */
     ConfigTable optionalTable(String key) {
         TomlTable nested = readTyped(key, () -> table.getTable(List.of(key)));
         return nested == null ? null : new ConfigTable(nested, path(key) + ".");
@@ -66,7 +69,7 @@
         return array == null ? List.of() : array.toList();
     }
 
-    /** A required integer of at least 1. */
+    /** A required integer from 1 to Integer.MAX_VALUE. */
     long requiredPositive(String key) {
         Long number = optionalInteger(key, 1);
         if (number == null) {
@@ -75,13 +78,13 @@
         return number;
     }
 
-    /** An optional integer of at least 0. */
+    /** An optional integer from 0 to Integer.MAX_VALUE. */
     long integerOrDefault(String key, long defaultValue) {
         Long number = optionalInteger(key, 0);
         return number == null ? defaultValue : number;
     }
 
-    /** An optional duration in integer milliseconds, converted to microseconds. */
+    /** An optional duration, configured in integer milliseconds and returned in microseconds. */
     long durationOrDefault(String key, long defaultMicros) {
         Long millis = optionalInteger(key, 0);
         return millis == null ? defaultMicros : TimeUnit.MILLISECONDS.toMicros(millis);
@@ -101,7 +104,7 @@
         return table.toJson();
     }
 
-    /** Converts a value; an IllegalArgumentException of the conversion is rethrown with the key's path. */
+    /** Converts a value; if the conversion throws an IllegalArgumentException, throws one with the key's path. */
     static <T, R> R convert(String path, T value, Function<T, R> conversion) {
         try {
             return conversion.apply(value);
@@ -110,7 +113,7 @@
         }
     }
 
-    /** Creates the exception for an invalid value; {@code cause} may be null. */
+    /** Creates the exception for an invalid value of the key at the path; {@code cause} may be null. */
     static IllegalArgumentException invalidKey(String path, Throwable cause) {
         return new IllegalArgumentException("unusable key " + path, cause);
     }
--- a/src/main/java/crankwick/app/FailoverSimulationCommand.java
+++ b/src/main/java/crankwick/app/FailoverSimulationCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code lab handover}: simulates failovers by seed. */
+/** {@code lab handover}: simulates failovers that a seed determines. */
 @Command(
         name = "handover",
         description = "Simulates planned and unplanned failovers under load and checks every step. "
--- a/src/main/java/crankwick/app/Main.java
+++ b/src/main/java/crankwick/app/Main.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The entry point. Starts {@code serve} (a proxy) and {@code simhost} (the simulator adapter) without loading picocli;
- * {@link Commands} handles all other command lines.
+ * The entry point. If given without options, {@code serve} (a proxy) and {@code simhost} (the simulator adapter) are
+ * started without loading picocli; {@link Commands} handles all other command lines.
  */
 public final class Main {
     private static final int EXIT_USAGE = 2;
@@ -41,7 +41,10 @@
         }
     }
 
-    /** Starts the platform listener if ROUTER_CONFIG is set and the TDS listener if an operator file is given. */
+    /**
+     * Starts the platform listener if ROUTER_CONFIG is set and the TDS listener if an operator file is given. Does not
+     * return until the process ends.
+     */
     static void serve(Path operatorFile) throws IOException, InterruptedException {
         System.setProperty("java.util.logging.config.class", LoggingBridge.class.getName());
         List<Service> services = new CopyOnWriteArrayList<>();
@@ -68,13 +71,13 @@
         Thread.currentThread().join();
     }
 
-    /** Shuts down all services concurrently, because one SIGKILL deadline applies to all of them. */
+    /** Begins to shut down all services before waiting for any, because one SIGKILL deadline applies to all of them. */
     private static void close(List<Service> services) {
         services.forEach(Service::beginClose);
         services.forEach(Service::awaitClosed);
     }
 
-    /** Reloads on SIGHUP. Must be installed first: without a handler, the JVM exits on SIGHUP. */
+    /** Reloads on SIGHUP. Must be installed before the services start: without a handler, the JVM exits on SIGHUP. */
     @SuppressWarnings("sunapi")
     private static void onHangup(Runnable reload) {
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
--- a/src/main/java/crankwick/app/OperatorConfig.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -56,7 +56,9 @@
             "planned_least_ms",
             "planned_most_ms");
 
-    /** Reads the file; throws an IllegalArgumentException with the path of the invalid key. */
+    /**
+     * Reads the file; throws an IllegalArgumentException that names the file and the invalid key or the parse error.
+     */
     static OperatorConfig read(Path file) {
         TomlParseResult root;
         try {
--- a/src/main/java/crankwick/app/Service.java
+++ b/src/main/java/crankwick/app/Service.java
@@ -27,7 +27,10 @@
 /** Owns a listener with its broker, database pool and discovery: creates, starts, reloads and closes them. */
 final class Service {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
-    /** How long connections are accepted after SIGTERM: clients may still connect for up to 0.4 s. */
+    /**
+     * How long connections are still accepted after SIGTERM, because clients may connect for up to 0.4 s after it; at
+     * most half of the time that is available for the shutdown.
+     */
     private static final long ACCEPT_AFTER_SIGTERM_MICROS = 450_000;
 
     /** Counters are also logged periodically, because a process that is killed cannot log them at exit. */
@@ -36,8 +39,8 @@
     private static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 10_000;
 
     /**
-     * The platform sends SIGKILL no earlier than the longest deadline, capped at this value, plus
-     * {@link #KILL_DELAY_AFTER_DEADLINE_MICROS} after SIGTERM.
+     * Caps the longest deadline of the request classes in the time before SIGKILL: the platform sends SIGKILL no
+     * earlier than the capped deadline plus {@link #KILL_DELAY_AFTER_DEADLINE_MICROS} after SIGTERM.
      */
     private static final long MAX_DEADLINE_BEFORE_KILL_MICROS = 3_000_000;
 
@@ -46,10 +49,16 @@
     /** Time from SIGTERM to the start of the shutdown hook plus time from the hook's end to process exit. */
     private static final long SIGNAL_AND_EXIT_MICROS = 350_000;
 
-    /** Margin between the last replies and the shutdown deadline; covers delays of the event loop. */
+    /**
+     * Margin between the last replies and the shutdown deadline; covers delays of the event loop. {@link #awaitClosed}
+     * waits up to this long after the deadline.
+     */
     private static final long LAST_REPLY_MARGIN_MICROS = 150_000;
 
-    /** Fractions of the socket limit; the rest is reserved for discovery, files and the transport. */
+    /**
+     * Fractions of the socket limit for client and database connections; the rest is reserved for discovery, files and
+     * the transport.
+     */
     private static final double CLIENT_SOCKET_FRACTION = 0.42;
 
     private static final double DATABASE_SOCKET_FRACTION = 0.36;
@@ -95,7 +104,10 @@
                                 (sockets * CLIENT_SOCKET_FRACTION)));
     }
 
-    /** Opens the listening socket; the listener becomes ready with the first endpoint list that is not empty. */
+    /**
+     * Opens the listening socket, and runs the warm-up and starts discovery in an event loop task. The listener becomes
+     * ready with the first endpoint list that is not empty.
+     */
     void start(
             InetSocketAddress listen,
             int sockets,
@@ -140,7 +152,10 @@
         });
     }
 
-    /** Maximum duration of the shutdown hook in microseconds, so that the process exits before SIGKILL. */
+    /**
+     * Time from the start of the shutdown hook to the shutdown deadline, in microseconds, so that the process exits
+     * before SIGKILL.
+     */
     private long shutdownTimeoutMicros() {
         long maxDeadline = 0;
         for (RequestClass requestClass : settings.routingSettings().requestClasses()) {
@@ -151,7 +166,10 @@
                 - SIGNAL_AND_EXIT_MICROS;
     }
 
-    /** Continues to serve while clients may still connect, then stops listening and drains. */
+    /**
+     * Starts the shutdown: the service accepts connections while clients may still connect, then stops listening and
+     * drains. Returns at once.
+     */
     void beginClose() {
         long shutdownDeadline = clock.now() + shutdownTimeoutMicros();
         loop.execute(() -> LOG.info(
@@ -165,7 +183,10 @@
         });
     }
 
-    /** Waits until all requests are answered or the shutdown deadline has passed. */
+    /**
+     * Waits until no client connections are open and no requests are outstanding, or the shutdown deadline has passed;
+     * then logs the counters.
+     */
     void awaitClosed() {
         try {
             closed.await(shutdownTimeoutMicros() + LAST_REPLY_MARGIN_MICROS, TimeUnit.MICROSECONDS);
--- a/src/main/java/crankwick/app/StartupWarmup.java
+++ b/src/main/java/crankwick/app/StartupWarmup.java
@@ -37,7 +37,10 @@
     /** The attempts of every RESET_INTERVAL-th request end with {@code RESET}. */
     private static final int RESET_INTERVAL = 50;
 
-    /** The attempts of every INELIGIBLE_INTERVAL-th request end with {@code INELIGIBLE_REPLICA}. */
+    /**
+     * The attempts of every INELIGIBLE_INTERVAL-th request end with {@code INELIGIBLE_REPLICA}, unless RESET_INTERVAL
+     * applies.
+     */
     private static final int INELIGIBLE_INTERVAL = 20;
 
     private final List<String> classNames;
@@ -102,7 +105,9 @@
         }
     }
 
-    /** Creates the end of an attempt: most succeed, a few are reset or reach an ineligible replica. */
+    /**
+     * Creates the event that ends an attempt: most attempts succeed, a few are reset or reach an ineligible replica.
+     */
     private BrokerEvent attemptEnded(Effect.SendAttempt send) {
         AttemptResult result = send.requestId() % RESET_INTERVAL == 0
                 ? AttemptResult.RESET
--- a/src/main/java/crankwick/emulator/DatabaseEmulator.java
+++ b/src/main/java/crankwick/emulator/DatabaseEmulator.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs modelled groups of databases on loopback sockets: each member listens on its own port and behaves as its
- * group's {@link GroupModel} specifies. The port of a crashed member refuses connections; the connections of a hung
- * member stay open without a response. All state changes on one event loop.
+ * Runs modelled groups of databases on loopback sockets: each member listens on its own port and behaves as its group's
+ * {@link GroupModel} specifies. The port of a crashed member refuses connections; the connections of a hung member stay
+ * open without a response. All model events are handled on one event loop.
  */
 public final class DatabaseEmulator implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DatabaseEmulator.class);
@@ -32,7 +32,7 @@
     private static final long MIN_RESTART_DELAY_MICROS = 600_000;
     private static final long MAX_RESTART_DELAY_MICROS = 6_000_000;
     private static final long RESTART_RETRY_MICROS = 500_000;
-    /** The range of the delay from a fault to the publication of the updated endpoint list. */
+    /** The range of the delay from a fault or restart to the publication of the updated endpoint list. */
     private static final long MIN_FAULT_LIST_UPDATE_DELAY_MICROS = 20_000;
 
     private static final long MAX_FAULT_LIST_UPDATE_DELAY_MICROS = 300_000;
@@ -80,7 +80,10 @@
 
     // ---- Faults --------------------------------------------------------------------------------------
 
-    /** Schedules {@code count} crashes, hangs or drains of leaders, at least {@code intervalMicros} apart. */
+    /**
+     * Schedules {@code count} crashes, hangs or drains of leaders, at least {@code intervalMicros} apart, each followed
+     * by a restart. A fault waits until a group is healthy.
+     */
     public void scheduleFaults(int count, long intervalMicros) {
         remainingFaults = count;
         loop.schedule(intervalMicros, () -> injectNextFault(intervalMicros));
@@ -136,7 +139,10 @@
                 endpointList::publish);
     }
 
-    /** Closes the port of a member that is down or was restarted, and reopens it if the member accepts connections. */
+    /**
+     * Closes the port and the connections of a member that refuses connections or has just restarted, and opens the
+     * port again if the member accepts connections.
+     */
     private void updateListener(EmulatedGroup group, int member, long previousStart) {
         GroupModel model = group.model();
         try {
--- a/src/main/java/crankwick/emulator/EmulatedConnection.java
+++ b/src/main/java/crankwick/emulator/EmulatedConnection.java
@@ -38,7 +38,7 @@
         return connection;
     }
 
-    /** The exchange that the model processes for this connection; 0 for none. */
+    /** The id of the exchange that the model processes for this connection; 0 for none. */
     long exchangeId() {
         return exchangeId;
     }
@@ -74,7 +74,7 @@
         return requestId;
     }
 
-    /** Whether the login has no response yet, because the member hangs. */
+    /** Whether a login was received while the member hung and has no response yet. */
     boolean isLoginPending() {
         return loginPending;
     }
--- a/src/main/java/crankwick/emulator/EmulatedEndpoint.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpoint.java
@@ -5,8 +5,9 @@
 /**
  * A database as the endpoint list shows it.
  *
- * @param role UNKNOWN keeps the role that the list showed before
- * @param startedAtMillis when its process started, in Unix milliseconds; 0 if long ago
+ * @param role UNKNOWN in an update of the list keeps the role that the list showed before
+ * @param startedAtMillis when the database's process last started, in Unix milliseconds; 0 if it has not restarted
+ *     since the emulator started
  */
 record EmulatedEndpoint(String id, int port, long groupId, Role role, boolean draining, long startedAtMillis) {
     EmulatedEndpoint withRole(Role newRole) {
--- a/src/main/java/crankwick/emulator/EmulatedEndpointList.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpointList.java
@@ -17,7 +17,10 @@
 import java.util.Map;
 import java.util.concurrent.Executors;
 
-/** Publishes the endpoints of emulated databases to proxies: over HTTP as discovery does, and in a zone file. */
+/**
+ * Publishes the endpoints of emulated databases to proxies: over HTTP with long polling, as discovery does, and in a
+ * zone file.
+ */
 public final class EmulatedEndpointList implements AutoCloseable {
     private static final long MAX_LONG_POLL_TIMEOUT_MILLIS = 60_000;
     private static final long RECHECK_MILLIS = 100;
@@ -45,12 +48,15 @@
         server.start();
     }
 
-    /** The port on which the list is served. */
+    /** The port on which the list is served over HTTP. */
     public int port() {
         return server.getAddress().getPort();
     }
 
-    /** Adds or replaces endpoints; {@link #publish} makes the change visible. */
+    /**
+     * Adds or replaces endpoints; proxies see the change after {@link #publish}. A role of UNKNOWN keeps the earlier
+     * role.
+     */
     synchronized void update(List<EmulatedEndpoint> endpoints) {
         for (EmulatedEndpoint endpoint : endpoints) {
             Role role = endpoint.role() == Role.UNKNOWN ? listedRole(endpoint.id()) : endpoint.role();
@@ -109,7 +115,10 @@
         exchange.close();
     }
 
-    /** Waits until the list is newer than {@code knownVersion} or the long poll times out, and returns the list. */
+    /**
+     * Waits until the list is newer than {@code knownVersion} or the long poll times out, and returns the complete
+     * list.
+     */
     private synchronized String awaitVersionAfter(long knownVersion, long longPollTimeoutMillis) {
         long deadline = System.currentTimeMillis() + Math.min(MAX_LONG_POLL_TIMEOUT_MILLIS, longPollTimeoutMillis);
         while (knownVersion >= version && System.currentTimeMillis() < deadline) {
--- a/src/main/java/crankwick/emulator/EmulatedGroup.java
+++ b/src/main/java/crankwick/emulator/EmulatedGroup.java
@@ -82,7 +82,7 @@
         return endpoints;
     }
 
-    /** The members' endpoints without their roles, so that the list keeps those it shows. */
+    /** The members' endpoints with role UNKNOWN, so that the endpoint list keeps the roles that it shows. */
     List<EmulatedEndpoint> endpoints() {
         List<EmulatedEndpoint> endpoints = new ArrayList<>();
         for (int member = 0; member < memberCount; member++) {
--- a/src/main/java/crankwick/emulator/ExecutionLog.java
+++ b/src/main/java/crankwick/emulator/ExecutionLog.java
@@ -62,12 +62,12 @@
         concurrentAttempts++;
     }
 
-    /** The periods in which groups accepted no writes, ordered by start. */
+    /** The periods in which groups had no leader, ordered by start. */
     public synchronized List<LeaderlessPeriod> leaderlessPeriods() {
         return List.copyOf(leaderlessPeriods);
     }
 
-    /** The number of writes with this key in its group's log, without those that were rolled back. */
+    /** How often a write with this key was appended to a group's log, not counting writes that were rolled back. */
     public synchronized int timesApplied(String key) {
         return timesApplied.getOrDefault(key, 0);
     }
--- a/src/main/java/crankwick/emulator/MemberConnections.java
+++ b/src/main/java/crankwick/emulator/MemberConnections.java
@@ -19,7 +19,10 @@
 /** The connections of proxies to all members, and the exchanges in flight on them. Used only on the event loop. */
 final class MemberConnections {
     private static final Logger LOG = LoggerFactory.getLogger(MemberConnections.class);
-    /** The loop may learn that a connection was closed only after the proxy's next statement on another connection. */
+    /**
+     * How long an earlier attempt may seem in flight when the request's next attempt arrives: the loop may learn only
+     * then, or later, that the proxy has closed the earlier connection.
+     */
     private static final long CLOSE_DETECTION_GRACE_MICROS = 250_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
@@ -150,7 +153,7 @@
                         connection.isWrite()));
     }
 
-    /** Closes the connection of an exchange. */
+    /** Closes the connection of an exchange that the model ended without a response. */
     void closeConnection(long exchangeId) {
         EmulatedConnection connection = connectionByExchange.get(exchangeId);
         if (connection != null) {
@@ -170,7 +173,7 @@
         }
     }
 
-    /** Accepts the logins that were received while the member hung. */
+    /** Accepts the logins that were received while a member hung. */
     void acceptPendingLogins(EmulatedGroup group, int member) {
         connections.values().stream()
                 .filter(connection -> connection.belongsTo(group, member) && connection.isLoginPending())
--- a/src/main/java/crankwick/pg/PgClientCodec.java
+++ b/src/main/java/crankwick/pg/PgClientCodec.java
@@ -12,7 +12,7 @@
     private static final int SSL_REQUEST = 80877103;
     private static final int GSS_REQUEST = 80877104;
     private static final int CANCEL_REQUEST = 80877102;
-    /** The length field and the code of a startup message. */
+    /** The bytes of a startup message's length field and code. */
     private static final int STARTUP_HEADER_BYTES = 8;
 
     private static final long MICROS_PER_MILLI = 1_000;
--- a/src/main/java/crankwick/pg/PgDatabaseCodec.java
+++ b/src/main/java/crankwick/pg/PgDatabaseCodec.java
@@ -12,9 +12,10 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
 /**
- * Codec for database connections in PostgreSQL's protocol. A response is accepted only in its exact sequence:
- * RowDescription, one DataRow and CommandComplete, or ErrorResponse; then ReadyForQuery. ParameterStatus and
- * NoticeResponse may occur in between.
+ * Codec for database connections in PostgreSQL's protocol. A response is accepted only in this sequence:
+ * RowDescription, one DataRow, CommandComplete, ReadyForQuery. Before CommandComplete, an ErrorResponse may replace the
+ * rest up to ReadyForQuery; if it is fatal or belongs to the handshake, it ends the response. ParameterStatus and
+ * NoticeResponse may occur anywhere.
  */
 public final class PgDatabaseCodec extends CodecFilter {
     private static final int MAX_MESSAGE_BYTES = 128 * 1024;
@@ -146,7 +147,7 @@
             }
         }
 
-        /** Stores the SQLSTATE of an ErrorResponse; true if its severity ends the connection. */
+        /** Stores the SQLSTATE of an ErrorResponse; returns true if the error's severity ends the connection. */
         private boolean readError(ByteBuffer body) {
             boolean fatal = false;
             error = "";
--- a/src/main/java/crankwick/pg/PgWriter.java
+++ b/src/main/java/crankwick/pg/PgWriter.java
@@ -4,7 +4,9 @@
 import java.nio.charset.Charset;
 import java.nio.charset.StandardCharsets;
 
-/** Builds messages of protocol version 3: a type, a length and the fields. */
+/**
+ * Builds messages of version 3 of PostgreSQL's protocol: a type, except in a startup message, a length and the fields.
+ */
 final class PgWriter {
     private static final int BYTEA_TYPE_OID = 17;
     /** Maps each byte to one character, so that statements and values in any encoding pass through unchanged. */
@@ -61,13 +63,13 @@
         return endMessage(PgProtocol.DATA_ROW);
     }
 
-    /** Ends a message and writes its type, its length and its fields. */
+    /** Ends a message: writes its type, its length and the fields that were appended since the last message. */
     PgWriter endMessage(char type) {
         out.write(type);
         return endMessage();
     }
 
-    /** Ends a message without a type, which is a startup message, and writes its length and its fields. */
+    /** Ends a startup message, which has no type: writes its length and its fields. */
     PgWriter endMessage() {
         int length = body.size() + PgProtocol.LENGTH_BYTES;
         out.write(length >> SHORT_BITS + BYTE_BITS);
--- a/src/main/java/crankwick/simulation/AuditSummary.java
+++ b/src/main/java/crankwick/simulation/AuditSummary.java
@@ -8,10 +8,10 @@
  *
  * @param failovers elections of a leader other than the previous one
  * @param keys distinct idempotency keys in requests
- * @param violations counts by kind; kinds without a violation may be absent
- * @param failoversBeforeViolation failovers before the first violation; -1 without a violation
- * @param rejectedWrites rejected writes
- * @param meanRejectionLatencyMillis mean time from receipt to rejection of these writes
+ * @param violations number of violations by kind; a kind that did not occur is absent
+ * @param failoversBeforeViolation number of failovers before the first violation; -1 if there was none
+ * @param rejectedWrites number of rejected writes
+ * @param meanRejectionLatencyMillis mean time from receipt to rejection of the rejected writes
  * @param reasons counts of rejected and failed requests by reason
  */
 record AuditSummary(
--- a/src/main/java/crankwick/simulation/AuditTrace.java
+++ b/src/main/java/crankwick/simulation/AuditTrace.java
@@ -7,9 +7,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A bounded trace of a run, with excerpts that concern one request, its idempotency key and its group. */
+/**
+ * The most recent lines of a run's trace. Excerpts contain the lines about one request, its idempotency key and its
+ * group.
+ */
 final class AuditTrace {
-    /** The request id of a line that concerns a whole group. */
+    /** Stands for the request id in a line that concerns a whole group. */
     static final long GROUP_REQUEST_ID = -1;
 
     private static final int MAX_LINES = 20_000;
@@ -18,7 +21,7 @@
     private record Line(long time, int group, long requestId, String text) {}
 
     private final ArrayDeque<Line> lines = new ArrayDeque<>();
-    /** The idempotency keys of the most recent requests. */
+    /** The idempotency keys of the most recent {@link #MAX_LINES} writes, by request id. */
     private final Map<Long, String> keysByRequestId = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
@@ -40,7 +43,10 @@
         keysByRequestId.put(requestId, key);
     }
 
-    /** Returns the most recent lines about a request, its group and, unless null, an idempotency key. */
+    /**
+     * Returns the last {@link #MAX_EXCERPT_LINES} lines of a group that concern the whole group, the request or, unless
+     * {@code key} is null, the idempotency key.
+     */
     String excerpt(int group, long requestId, String key) {
         List<Line> relevant = lines.stream()
                 .filter(line -> line.group == group)
--- a/src/main/java/crankwick/simulation/AuditedGroup.java
+++ b/src/main/java/crankwick/simulation/AuditedGroup.java
@@ -46,7 +46,10 @@
         return leaderLossCount;
     }
 
-    /** Whether the group has a leader and has not lost one since {@link #leaderLossCount} had this value. */
+    /**
+     * Whether the group has a leader and has lost none since {@link #leaderLossCount} returned {@code
+     * expectedLossCount}.
+     */
     boolean hasStableLeaderSince(long expectedLossCount) {
         return leaderLossCount == expectedLossCount && !leaderless;
     }
@@ -56,14 +59,20 @@
         return lastLossPlanned;
     }
 
-    /** Removes and returns the writes that were open when the leader was lost or received while there was none. */
+    /**
+     * Removes and returns the writes that were open when the group last lost its leader, or were received before it had
+     * a leader again.
+     */
     List<AuditedRequest> removeAffectedWrites() {
         List<AuditedRequest> removed = List.copyOf(affectedWrites);
         affectedWrites.clear();
         return removed;
     }
 
-    /** The proxy has received the response of a member that served a write. */
+    /**
+     * Records that the proxy has received a successful response to a write; ignored if it is not from the current
+     * leader.
+     */
     void recordServedWrite(String endpointId) {
         if (endpointId.equals(leader)) {
             servingEndpoint = endpointId;
@@ -74,7 +83,9 @@
         servingEndpoint = null;
     }
 
-    /** The current leader if the proxy has received its response to a served write; null otherwise. */
+    /**
+     * The current leader if the current proxy process has received its successful response to a write; otherwise null.
+     */
     String servingEndpoint() {
         return servingEndpoint;
     }
--- a/src/main/java/crankwick/simulation/AuditedRequest.java
+++ b/src/main/java/crankwick/simulation/AuditedRequest.java
@@ -104,12 +104,18 @@
         return mayHaveExecutedSince != NEVER;
     }
 
-    /** Whether an earlier attempt may have been executed and the TTL of its key has ended at the given time. */
+    /**
+     * Whether an ended attempt may have been executed and the TTL of the request's key, counted from the sending of the
+     * first such attempt, has ended at the given time.
+     */
     boolean isKeyExpired(long ttl, long at) {
         return mayHaveExecuted() && at >= mayHaveExecutedSince + ttl;
     }
 
-    /** Like {@link #isKeyExpired}, but also counts an attempt in flight to a member other than the new leader. */
+    /**
+     * Like {@link #isKeyExpired}, but also counts an attempt that is in flight and was sent before the election to a
+     * member other than the new leader.
+     */
     boolean isKeyExpiredAtFailover(String leader, long electedAt, long ttl, long at) {
         boolean inFlightElsewhere = inFlight && !endpointId.equals(leader) && sentAt < electedAt;
         long since = Math.min(mayHaveExecutedSince, inFlightElsewhere ? sentAt : NEVER);
--- a/src/main/java/crankwick/simulation/DrainSimulation.java
+++ b/src/main/java/crankwick/simulation/DrainSimulation.java
@@ -7,10 +7,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Simulates a fleet of endpoint watches that poll one discovery service, with faults drawn by seed: the connections
- * of all watches stall or are reset at once, discovery becomes unavailable and then has to work through a queue of
- * calls, and databases start to drain meanwhile. Checks that every proxy is notified of each drain before the end of
- * its drain grace.
+ * Simulates a fleet of endpoint watches that poll one discovery service. In each round, a fault hits all pending long
+ * polls at once, and then a drain starts. In two of three rounds the connections stall; in every third round they are
+ * reset, alternately with and without an outage of discovery, after which the calls of the fleet queue up. The times
+ * are drawn by seed. The simulation checks that every proxy is notified of each drain before the end of its drain
+ * grace.
  */
 public final class DrainSimulation {
     private static final long START_MICROS = 1_000 * SECONDS;
@@ -18,7 +19,9 @@
     private static final long MAX_OUTAGE_MICROS = 3 * SECONDS;
     private static final long MAX_DELAY_BEFORE_DRAIN_MICROS = 2 * SECONDS;
     private static final long ROUND_MICROS = 12 * SECONDS;
-    /** How long a proxy may still send to a draining database once the drain takes effect. */
+    /**
+     * How long a proxy may still send requests to a draining database after the drain has taken effect for this proxy.
+     */
     private static final long DRAIN_GRACE_MICROS = 2 * SECONDS;
 
     private static final long INITIAL_VERSION = 41;
@@ -28,8 +31,8 @@
      *
      * @param proxies size of the fleet, at least 1
      * @param rounds number of faults, each followed by a drain, at least 1
-     * @param fullCycleMicros how long discovery takes to answer one call of every proxy
-     * @param timerDelayMicros delay of each timer of a proxy; a large delay is a deliberate defect
+     * @param fullCycleMicros how long discovery takes to process one call from each proxy of the fleet in sequence
+     * @param timerDelayMicros how late each timer of a proxy's watch fires; a large delay is a deliberate defect
      */
     public record Options(int proxies, int rounds, long seed, long fullCycleMicros, long timerDelayMicros) {}
 
@@ -75,7 +78,10 @@
                 discovery.calls() / (double) options.proxies() / ((clock.now() - START_MICROS) / (double) SECONDS));
     }
 
-    /** The first drain of which a proxy was notified late or not at all; null if there was none. */
+    /**
+     * Describes the first case of a proxy that had not received a drain by the end of the drain grace; null if there
+     * was none.
+     */
     public String firstViolation() {
         return firstViolation;
     }
@@ -88,7 +94,10 @@
         }
     }
 
-    /** Resets all pending long polls at once, with an outage of discovery if {@code withOutage}. */
+    /**
+     * Resets all pending long polls at once, then waits for up to {@link #MAX_OUTAGE_MICROS}. With {@code withOutage},
+     * discovery rejects all calls during this time.
+     */
     private void resetConnections(boolean withOutage) {
         proxies.forEach(WatchingProxy::resetPendingPoll);
         discovery.setDown(withOutage);
@@ -96,7 +105,7 @@
         discovery.setDown(false);
     }
 
-    /** Starts a drain, and schedules the check of each proxy at the end of the drain grace. */
+    /** Starts a drain, and schedules for each proxy a check at the end of this proxy's drain grace. */
     private void startDrain() {
         discovery.publishNextVersion();
         long drain = discovery.version();
--- a/src/main/java/crankwick/simulation/FailoverAudit.java
+++ b/src/main/java/crankwick/simulation/FailoverAudit.java
@@ -10,19 +10,20 @@
 import java.util.Map;
 
 /**
- * Checks a run at every step without querying the proxy: the audit sees client requests and replies, attempts sent
- * to databases, changes to the groups' logs, and the endpoints published to the proxy.
+ * Checks a run at every step from client requests and replies, attempts sent to databases, changes to the groups' logs
+ * and leaders, and the endpoints published to the proxy. The proxy's own state is not used, except for the number of
+ * buffered requests that it releases when it detects a failover.
  *
- * <p>A group has recovered {@link #RECOVERY_MARGIN_MICROS} after an election if it has accepted writes since. A write
- * counts as reachable if it was open or received while its group had no leader, its deadline is not before the
- * recovery, and it has no attempt that may have been executed and whose key TTL ends before the recovery.
- * Writes to a new primary that is still warming up are counted separately.
+ * <p>A group has recovered {@link #RECOVERY_MARGIN_MICROS} after an election if it could commit writes at both times
+ * and kept its leader. A write counts as reachable if it was open or received while its group had no leader, its
+ * deadline is not before the recovery, the proxy was not restarted before the reply, and no attempt may have been
+ * executed whose key TTL ends before the recovery. Writes to a primary still warming up are counted separately.
  */
 final class FailoverAudit {
-    /** Time for detecting the new primary and executing the write. */
+    /** The time after an election that the proxy is given to detect the new primary and execute a write. */
     static final long RECOVERY_MARGIN_MICROS = 250_000;
 
-    /** The request id of a trace line that concerns only an idempotency key. */
+    /** Stands for the request id in a trace line that concerns only an idempotency key. */
     private static final long KEY_REQUEST_ID = 0;
 
     private static final class AuditedKey {
@@ -36,7 +37,7 @@
      * @param replySlack how long after a request's deadline its reply may be sent
      * @param drainGrace how long attempts may still be sent to an endpoint after it was published as draining
      * @param keyTtl how long databases keep an idempotency key for deduplication
-     * @param maxReleased maximum number of buffered requests released to a new primary at once
+     * @param maxReleased maximum number of buffered requests that may be released in the step that detects a failover
      */
     record Limits(long replySlack, long drainGrace, long keyTtl, int maxReleased) {}
 
@@ -322,13 +323,13 @@
         }
     }
 
-    /** Counts a failover if the leader changed; returns the number of leader losses for {@link #onLeaderStable}. */
+    /** Counts a failover if the leader changed; returns the loss count that {@link #onLeaderStable} expects. */
     long onLeaderElected(int group, boolean changed) {
         failovers += changed ? 1 : 0;
         return groups[group].leaderLossCount();
     }
 
-    /** Classifies the affected writes {@link #RECOVERY_MARGIN_MICROS} after an election if the leader is unchanged. */
+    /** Classifies the affected writes {@link #RECOVERY_MARGIN_MICROS} after an election if no leader was lost since. */
     void onLeaderStable(int group, long leaderLossCount, long electedAt, String leader, boolean warmingUp) {
         AuditedGroup audited = groups[group];
         if (!audited.hasStableLeaderSince(leaderLossCount)) {
--- a/src/main/java/crankwick/simulation/FailoverReport.java
+++ b/src/main/java/crankwick/simulation/FailoverReport.java
@@ -43,7 +43,7 @@
         return maxBuffered;
     }
 
-    /** Returns all figures by the names, and in the order, of the command line output. */
+    /** Returns all figures under their names in the command's output, in the order of that output. */
     public Map<String, Object> figures() {
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("failovers", audit.failovers());
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -18,16 +18,28 @@
  * al., SIGMOD 2021).
  */
 public final class FailoverSimulation {
-    /** A deliberate defect in the environment or the settings of the broker, which the audit must detect. */
+    /**
+     * A deliberate defect in the settings of the broker, in its environment or in the reports to the audit. The audit
+     * must detect it.
+     */
     public enum Defect {
         NONE,
         /** The proxy is configured with a longer key TTL than the databases use. */
         RESEND_AFTER_WINDOW,
-        /** The proxy receives the role in the endpoint list as if the member had reported it itself. */
+        /**
+         * When discovery publishes a member as primary, the proxy also receives a health check result with this role,
+         * as if the member had reported the possibly outdated role itself.
+         */
         LATE_LIST_BELIEVED,
-        /** A buffered request is sent twice. */
+        /**
+         * Once the proxy process has released a buffered request, every attempt is reported to the audit twice,
+         * although it is sent only once.
+         */
         HELD_SENT_TWICE,
-        /** Buffered requests are released without a limit on how many at once. */
+        /**
+         * The initial release window of the failover coordinator is so large that it practically does not limit how
+         * many buffered requests are released at once.
+         */
         RELEASE_WITHOUT_PACE
     }
 
@@ -35,15 +47,19 @@
      * Options of a run.
      *
      * @param groups number of groups of three databases, at least 1
-     * @param failovers number of failovers after which the run ends, at least 1
-     * @param failover settings of the failover coordinator; null for the router alone, as in earlier versions
+     * @param failovers number of failovers after which the run ends unless it reaches its time limit, at least 1
+     * @param failover settings of the failover coordinator; null to run without a coordinator, so that only the router
+     *     handles failovers, as in earlier versions
      */
     public record Options(int groups, int failovers, long seed, FailoverSettings failover, Defect defect) {}
 
     private static final long START_MICROS = 1_000_000 * SECONDS;
-    /** Limit on the simulated time per requested failover. */
+    /**
+     * Limits the simulated time of a run: this much for each requested failover, divided by the number of groups, plus
+     * this much once.
+     */
     private static final long MAX_MICROS_PER_FAILOVER = 60 * SECONDS;
-    /** How long open requests have to complete after the last failover. */
+    /** How long open requests have to complete after the requested number of failovers or the time limit is reached. */
     private static final long COOL_DOWN_MICROS = 10 * SECONDS;
 
     private static final long MIN_RESTART_INTERVAL_MICROS = 60 * SECONDS;
--- a/src/main/java/crankwick/simulation/FaultSchedule.java
+++ b/src/main/java/crankwick/simulation/FaultSchedule.java
@@ -14,8 +14,8 @@
     private static final double MEAN_ADDED_INTERVAL_MICROS = 8.0 * SECONDS;
     private static final long RESTART_RETRY_MICROS = 500 * MILLIS;
     /**
-     * Exclusive upper limits of a random percentage for each fault: the leader drains, crashes or hangs; from the last
-     * limit up, a replica crashes.
+     * Exclusive upper limits of the random number from 0 to 99 that selects a fault: below the first limit the leader
+     * drains, below the second it crashes, below the third it hangs; from the third limit up, a replica crashes.
      */
     private static final int DRAIN_DRAW_LIMIT = 30;
 
@@ -48,7 +48,7 @@
         this.coolingDown = coolingDown;
     }
 
-    /** Schedules the next fault of a group; each fault schedules its successor until the cool-down. */
+    /** Schedules the next fault of a group; each fault schedules the one after it until the cool-down. */
     void scheduleNext(SimulatedGroup group) {
         clock.scheduleAfter(MIN_FAULT_INTERVAL_MICROS + random.exponential(MEAN_ADDED_INTERVAL_MICROS), () -> {
             if (!coolingDown.getAsBoolean()) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Whether all other members respond and none is draining; otherwise no fault is injected. */
+    /** Whether all members except the leader respond and none of them is draining; otherwise no fault is injected. */
     private boolean areOtherMembersReady(SimulatedGroup group, int leader) {
         GroupModel model = group.model();
         for (int member = 0; member < members; member++) {
@@ -100,7 +100,10 @@
         return true;
     }
 
-    /** Crashes the next candidate for leader too if there is no leader yet and another member responds. */
+    /**
+     * Crashes the member whose index follows that of the previous leader, if the group has no leader yet, and this
+     * member and a third one respond.
+     */
     private void crashSuccessor(SimulatedGroup group) {
         GroupModel model = group.model();
         int successor = (model.latestLeader() + 1) % members;
--- a/src/main/java/crankwick/simulation/ModelNetwork.java
+++ b/src/main/java/crankwick/simulation/ModelNetwork.java
@@ -20,13 +20,16 @@
 import java.util.function.Consumer;
 
 /**
- * The network between the proxy and the modelled groups: attempts and health checks are delayed in both directions,
- * may time out on a hung member, and lose their connection at random.
+ * The network between the proxy and the modelled groups. Attempts and health checks are delayed in both directions, may
+ * fail to connect to a hung member, and may lose their connection at random.
  */
 final class ModelNetwork {
     private static final long CONNECT_TIMEOUT_MICROS = 250 * MILLIS;
     private static final long HEALTH_CHECK_TIMEOUT_MICROS = 250 * MILLIS;
-    /** Rate of connection failures, applied before sending, during execution and while returning the response. */
+    /**
+     * Connection failures per 10,000 exchanges, drawn separately before sending, during execution and while the
+     * response returns.
+     */
     private static final int CONNECTION_FAILURES_PER_TEN_THOUSAND = 20;
 
     private final SimulatedClock clock;
@@ -61,7 +64,10 @@
 
     // ---- The proxy's side ----------------------------------------------------------------------------
 
-    /** The proxy process has ended: closes its connections and drops everything in transit. */
+    /**
+     * The proxy process has ended: closes the connections of the exchanges that members are processing, and drops those
+     * in transit to a member. Results in transit to the proxy still arrive, at the new process.
+     */
     void onProxyEnded() {
         proxyGeneration++;
         for (NetworkExchange exchange : List.copyOf(exchangesAtModels.values())) {
@@ -71,7 +77,9 @@
         attempts.clear();
     }
 
-    /** Cancels an attempt. */
+    /**
+     * Ends the attempt in flight of a request at once; its connection to the member is closed after a network delay.
+     */
     void cancelAttempt(long requestId) {
         NetworkExchange exchange = attempts.remove(requestId);
         if (exchange != null) {
@@ -82,7 +90,7 @@
         }
     }
 
-    /** Cancels an attempt that has not been written to a member. */
+    /** Ends the attempt in flight of a request with NOT_SENT, unless it has already been written to a member. */
     void cancelQueued(long requestId) {
         NetworkExchange exchange = attempts.get(requestId);
         if (exchange != null && !exchange.isWritten()) {
@@ -107,7 +115,10 @@
 
     // ---- In transit ----------------------------------------------------------------------------------
 
-    /** A hung member accepts no new connections; half of the exchanges with it reuse an open connection. */
+    /**
+     * Starts an exchange. A hung member accepts no new connections: half of the exchanges with it reuse an open
+     * connection, the others fail after the connect timeout.
+     */
     private void transmit(NetworkExchange exchange) {
         long expectedGeneration = proxyGeneration;
         GroupModel model = groupOf(exchange).model();
--- a/src/main/java/crankwick/simulation/NetworkExchange.java
+++ b/src/main/java/crankwick/simulation/NetworkExchange.java
@@ -58,7 +58,7 @@
         return new NetworkExchange(exchangeId, NO_REQUEST, NO_ATTEMPT, endpointId, now, null, AbsentValue.NONE);
     }
 
-    /** The id of the exchange in the model, never reused. */
+    /** The id of the exchange in the group's model; unique within a run. */
     long exchangeId() {
         return exchangeId;
     }
--- a/src/main/java/crankwick/simulation/PolledDiscovery.java
+++ b/src/main/java/crankwick/simulation/PolledDiscovery.java
@@ -6,7 +6,10 @@
 /** Discovery for a polling fleet: queues calls, rejects a call that would wait too long, and can be unavailable. */
 final class PolledDiscovery {
     private static final long MAX_QUEUE_DELAY_MICROS = 2 * SECONDS;
-    /** A call within this time of the last response resumes its watch and skips the queue. */
+    /**
+     * A call that arrives within this time of the last response to the same proxy resumes its watch and skips the
+     * queue.
+     */
     private static final long RESUME_WINDOW_MICROS = 200 * MILLIS;
     /** Returned by {@link #admit} for a rejected call. */
     static final long REJECTED = -1;
@@ -24,7 +27,7 @@
         this.version = version;
     }
 
-    /** The version of the endpoint list. */
+    /** The current version of the endpoint list. */
     long version() {
         return version;
     }
@@ -45,7 +48,11 @@
         return calls;
     }
 
-    /** Admits a call; returns its queueing delay in microseconds, or {@link #REJECTED}. */
+    /**
+     * Admits a call of a proxy that received its last response at the given time. Returns the queueing delay in
+     * microseconds, or {@link #REJECTED} if discovery is down or the delay would exceed {@link
+     * #MAX_QUEUE_DELAY_MICROS}.
+     */
     long admit(long lastResponseAt) {
         long now = clock.now();
         boolean resumes = now - lastResponseAt < RESUME_WINDOW_MICROS;
--- a/src/main/java/crankwick/simulation/Reachability.java
+++ b/src/main/java/crankwick/simulation/Reachability.java
@@ -6,7 +6,7 @@
     UNKNOWN("unknown"),
     UNPLANNED("unplanned"),
     PLANNED("planned"),
-    /** The new primary was still warming up. */
+    /** The write could have been served, but the new primary was still warming up when it was elected. */
     WARMING_UP("cold");
 
     private final String figure;
@@ -15,7 +15,7 @@
         this.figure = figure;
     }
 
-    /** The name in the figures of a run. */
+    /** The suffix of this kind's names in the figures of a run. */
     String figure() {
         return figure;
     }
--- a/src/main/java/crankwick/simulation/ReachableWrites.java
+++ b/src/main/java/crankwick/simulation/ReachableWrites.java
@@ -19,7 +19,7 @@
         return sum(reachable, kinds);
     }
 
-    /** The served share of the reachable writes, 0 to 1; 1 if there were none. */
+    /** The share of the reachable writes that was served, 0 to 1 with four decimal places; 1 if there were none. */
     double servedShare(Reachability... kinds) {
         long total = sum(reachable, kinds);
         return total == 0 ? 1 : Math.round(10_000.0 * sum(served, kinds) / total) / 10_000.0;
--- a/src/main/java/crankwick/simulation/SimulatedClients.java
+++ b/src/main/java/crankwick/simulation/SimulatedClients.java
@@ -22,9 +22,11 @@
     private static final int MAX_RETRIES = 3;
     private static final int STATEMENT_BYTES = 160;
     private static final long MIN_RETRY_DELAY_MICROS = 10 * MILLIS;
-    /** Percentage of clients that retry a failed write although it may have been executed. */
+    /** Percentage of failed writes that are retried although they may have been executed. */
     private static final int UNSAFE_RETRY_PERCENT = 50;
-    /** After a proxy process ended during a request, the client stops retrying this long before the key's TTL ends. */
+    /**
+     * After the proxy process has ended during a write, the client stops retrying this long before the key's TTL ends.
+     */
     private static final long KEY_MARGIN_MICROS = 100 * MILLIS;
 
     /** A client's operation with all its retries; {@code unsafeRetry} is set when a failed write is retried. */
@@ -142,8 +144,9 @@
     }
 
     /**
-     * Handles a reply. A rejected client retries after the retry-after of the reply, with the same key and a new
-     * request id. Some clients also retry a failed write, which is incorrect: the write may have been executed.
+     * Handles a reply. A rejected request is retried up to {@link #MAX_RETRIES} times after the retry-after of the
+     * reply, with the same key and a new request id. In runs with a failover coordinator, some failed writes are also
+     * retried once, which is incorrect: the write may have been executed.
      */
     void onReply(long requestId, Reply reply) {
         audit.onReply(clock.now(), requestId, reply);
@@ -167,8 +170,9 @@
     }
 
     /**
-     * The proxy process has ended during a request. The client retries with a deadline before the end of the key's
-     * TTL, because the new process does not know that the write may have been executed.
+     * The proxy process has ended during a request. The client retries, unless it has already retried the write after a
+     * failure. A write is retried only until shortly before its key's TTL ends, because the new process does not know
+     * that it may have been executed.
      */
     void onConnectionLost(AuditedRequest request) {
         Operation operation = operations.remove(request.requestId());
--- a/src/main/java/crankwick/simulation/SimulatedDiscovery.java
+++ b/src/main/java/crankwick/simulation/SimulatedDiscovery.java
@@ -24,7 +24,10 @@
     private final Consumer<BrokerEvent> proxy;
     private final boolean trustListedRoles;
 
-    /** {@code trustListedRoles} is a deliberate defect: a listed role reaches the proxy as the member's load report. */
+    /**
+     * {@code trustListedRoles} is a deliberate defect: a member that is published as primary also reaches the proxy
+     * with this role in a load report, as if the member had sent it.
+     */
     SimulatedDiscovery(
             SimulatedClock clock,
             SimulationRandom random,
@@ -38,12 +41,12 @@
         this.trustListedRoles = trustListedRoles;
     }
 
-    /** Draws the delay in microseconds before the list shows a changed role or start time. */
+    /** Draws the delay in microseconds until the endpoint list shows a changed role or start time. */
     long drawDelay() {
         return random.between(MIN_DELAY_MICROS, MAX_DELAY_MICROS);
     }
 
-    /** Publishes the roles of the previous and the new leader after a delay. */
+    /** Publishes the roles of the previous and the new leader after the delay of {@link #drawDelay}. */
     void publishLeaderDelayed(SimulatedGroup group, int previous, int leader) {
         clock.scheduleAfter(drawDelay(), () -> {
             group.setListedRole(previous, Role.REPLICA);
--- a/src/main/java/crankwick/simulation/SimulatedGroup.java
+++ b/src/main/java/crankwick/simulation/SimulatedGroup.java
@@ -5,7 +5,7 @@
 import crankwick.routing.api.EndpointStatus;
 import crankwick.routing.api.Role;
 
-/** A modelled group of databases, and its entries in the endpoint list, which lag behind. */
+/** A modelled group of databases with its endpoint list entries, whose roles and start times lag behind the model. */
 final class SimulatedGroup {
     private final int id;
     private final GroupModel model;
@@ -33,7 +33,7 @@
         return model;
     }
 
-    /** When the model's next timer is scheduled; Long.MAX_VALUE if none is. */
+    /** When the scheduled timer event of the model is due; Long.MAX_VALUE if none is scheduled. */
     long timerDueAt() {
         return timerDueAt;
     }
@@ -54,7 +54,7 @@
         listedRoles[member] = role;
     }
 
-    /** Sets the listed start time of a member to its current one. */
+    /** Sets the start time of a member in the endpoint list to its start time in the model. */
     void setListedStart(int member) {
         listedStarts[member] = model.startedAt(member);
     }
@@ -77,7 +77,7 @@
         return Integer.parseInt(endpointId.substring(endpointId.indexOf('m') + 1));
     }
 
-    /** The list entry of a member. */
+    /** The endpoint list entry of a member; its role and start time may be outdated, its drain status is current. */
     Endpoint endpoint(int member) {
         EndpointStatus status = model.isDraining(member) ? EndpointStatus.DRAINING : EndpointStatus.LIVE;
         return new Endpoint(endpointId(member), 0, id, listedRoles[member], status, listedStarts[member]);
--- a/src/main/java/crankwick/simulation/SimulatedProxy.java
+++ b/src/main/java/crankwick/simulation/SimulatedProxy.java
@@ -17,7 +17,7 @@
     private final FailoverAudit audit;
     private final ModelNetwork network;
     private final SimulatedClients clients;
-    /** Deliberate defect: reports each attempt to the audit twice once a buffered request has been released. */
+    /** Deliberate defect: reports each attempt to the audit twice once this process has released a buffered request. */
     private final boolean reportsAttemptsTwice;
 
     private Broker broker;
--- a/src/main/java/crankwick/simulation/SimulationRandom.java
+++ b/src/main/java/crankwick/simulation/SimulationRandom.java
@@ -46,7 +46,7 @@
         return (long) (-Math.log(1 - random.nextDouble()) * mean);
     }
 
-    /** One-way network delay: 0.1 to 0.5 ms; 1 to 20 ms for 1 % of transfers. */
+    /** One-way network delay in microseconds: 0.1 to 0.5 ms; 1 to 20 ms for 1 % of transfers. */
     long networkDelay() {
         return chance(SLOW_TRANSFERS_PER_TEN_THOUSAND) ? between(MILLIS, 20 * MILLIS) : between(100, 500);
     }
--- a/src/main/java/crankwick/simulation/SimulationSettings.java
+++ b/src/main/java/crankwick/simulation/SimulationSettings.java
@@ -86,7 +86,7 @@
                 0.5);
     }
 
-    /** Returns the same settings with practically no limit on buffered requests released at once. */
+    /** Returns the same settings with an initial release window that is practically unlimited. */
     static FailoverSettings withoutPacing(FailoverSettings settings) {
         return new FailoverSettings(
                 settings.maxBufferedPerGroup(),
--- a/src/main/java/crankwick/simulation/ViolationLog.java
+++ b/src/main/java/crankwick/simulation/ViolationLog.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 
-/** Counts violations and records the first one with its trace. */
+/** Counts violations by kind, and records a description of the first one with the trace lines about it. */
 final class ViolationLog {
     private static final long NONE = -1;
 
@@ -24,7 +24,10 @@
         add(violation, now, group, requestId, null, message);
     }
 
-    /** Records a violation that concerns a request and, unless null, an idempotency key. */
+    /**
+     * Records a violation that concerns a request, or a whole group with {@link AuditTrace#GROUP_REQUEST_ID}, and,
+     * unless null, an idempotency key.
+     */
     void add(Violation violation, long now, int group, long requestId, String key, String message) {
         counts.merge(violation, 1L, Long::sum);
         trace.add(now, group, requestId, "VIOLATION " + message);
--- a/src/main/java/crankwick/simulation/WatchingProxy.java
+++ b/src/main/java/crankwick/simulation/WatchingProxy.java
@@ -8,7 +8,11 @@
 /** One proxy's watch of the endpoint list, and the state of its current call at discovery. */
 final class WatchingProxy implements EndpointWatch.Calls {
     private static final long NETWORK_DELAY_MICROS = 2 * MILLIS;
-    /** When a drain takes effect for a proxy whose call is stalled or not yet admitted; see {@link EndpointWatch}. */
+    /**
+     * A drain takes effect this long after a pending long poll stalled, or after the drain started if no long poll is
+     * pending; for a stalled one, no earlier than {@link #EFFECTIVE_AFTER_POLL_TIMEOUT_MICROS} after its timeout. See
+     * {@link EndpointWatch}.
+     */
     private static final long EFFECTIVE_AFTER_STALL_MICROS = 6 * SECONDS;
 
     private static final long EFFECTIVE_AFTER_POLL_TIMEOUT_MICROS = 2 * SECONDS;
@@ -31,7 +35,7 @@
     private long pollTimeoutAt;
     private long lastResponseAt;
 
-    /** Creates a proxy with the current version of the list; each of its timers is delayed by {@code timerDelay}. */
+    /** Creates a proxy with the current version of the list; each of its timers fires late by {@code timerDelay}. */
     WatchingProxy(int number, SimulatedClock clock, PolledDiscovery discovery, long timerDelay, long seed) {
         this.number = number;
         this.clock = clock;
@@ -66,7 +70,7 @@
         }
     }
 
-    /** Stalls the connection of a pending long poll: no response arrives on it from now on. */
+    /** Stalls the connection of a pending long poll, if there is one: no response arrives on it from now on. */
     void stallConnection() {
         stalled = pollPending;
         stalledSince = clock.now();
@@ -78,7 +82,7 @@
         }
     }
 
-    /** Discovery has published a new version, which it sends in response to a pending long poll. */
+    /** Discovery has published a new version, which it sends in response to a pending long poll that is not stalled. */
     void onVersionPublished() {
         if (pollPending && !stalled) {
             respond(currentCall);
--- a/src/main/java/crankwick/simulator/EventDecoder.java
+++ b/src/main/java/crankwick/simulator/EventDecoder.java
@@ -17,7 +17,7 @@
  * the settings are null if the instance is not running, in which case the line's syntax is still checked.
  */
 final class EventDecoder {
-    /** Decimal places of a time in milliseconds; reading with these gives microseconds. */
+    /** A time in milliseconds that is read with this many decimal places yields microseconds. */
     static final int MILLIS_DECIMAL_PLACES = 3;
 
     private static final int INTEGER_DECIMAL_PLACES = 0;
--- a/src/main/java/crankwick/simulator/LineReader.java
+++ b/src/main/java/crankwick/simulator/LineReader.java
@@ -57,7 +57,10 @@
         lineNumber++;
     }
 
-    /** Moves the unread bytes to the start of the buffer and reads more; returns false at the end of input. */
+    /**
+     * Moves the unread bytes to the start of the buffer and reads more; returns false at the end of input, or throws if
+     * the input ends within a line.
+     */
     private boolean readMore() throws IOException {
         System.arraycopy(buffer, nextLineStart, buffer, 0, bufferedBytes - nextLineStart);
         bufferedBytes -= nextLineStart;
@@ -79,7 +82,10 @@
         return false;
     }
 
-    /** Creates an exception with the number and the start of the current line. */
+    /**
+     * Creates an exception with the fault, the number of the current line and up to {@link #MAX_QUOTED_BYTES} bytes of
+     * the line.
+     */
     WireException malformed(String fault) {
         String line =
                 new String(buffer, lineStart, Math.min(lineEnd - lineStart, MAX_QUOTED_BYTES), StandardCharsets.UTF_8);
@@ -215,8 +221,8 @@
     }
 
     /**
-     * The next token as a row of comma-separated fields, each scaled by 10^6 or {@link #ABSENT_FIELD}; null if the
-     * token is a dash.
+     * The next token as a row of comma-separated fields: each value multiplied by 10^6, or {@link #ABSENT_FIELD} if the
+     * field is empty or a dash; null if the token is a dash.
      */
     long[] nextRow() {
         int from = position;
--- a/src/main/java/crankwick/simulator/ReplyWriter.java
+++ b/src/main/java/crankwick/simulator/ReplyWriter.java
@@ -12,7 +12,7 @@
 /** Writes routing actions as lines of the simulator's protocol. */
 final class ReplyWriter implements RoutingActions {
     private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
-    /** The simulator accepts timers of at most 71 minutes. */
+    /** The maximum timer delay that is sent, 70 minutes; the simulator accepts at most 71 minutes. */
     private static final long MAX_TIMER_MICROS = 70L * 60 * 1_000_000;
 
     private static final int REQUEST_ID_DIGITS = 16;
--- a/src/main/java/crankwick/simulator/SimulatorAdapter.java
+++ b/src/main/java/crankwick/simulator/SimulatorAdapter.java
@@ -29,7 +29,7 @@
     private final List<List<Endpoint>> endpointLists = new ArrayList<>();
     private long now;
     private long currentInstanceId;
-    /** The selected instance, to which subsequent lines apply; null if it is not running. */
+    /** The instance that was selected last, to which input lines apply; null if it is not running. */
     private Instance currentInstance;
 
     SimulatorAdapter(InputStream in, OutputStream out) {
@@ -82,7 +82,7 @@
             case "timeout_fired" -> handle(new TimerFired(in.nextInteger()));
             case "expired" -> handle(new RequestAbandoned(in.nextRequestId()));
             case "established" -> handle(new ResponseStarted(in.nextRequestId()));
-            case "whisper" -> {} // Instances exchange no messages.
+            case "whisper" -> {} // Ignored: routers send no messages to each other.
             default -> throw in.malformed("unknown message");
         }
     }
--- a/src/main/java/crankwick/simulator/WireException.java
+++ b/src/main/java/crankwick/simulator/WireException.java
@@ -1,6 +1,6 @@
 package crankwick.simulator;
 
-/** Malformed input from the simulator; the message contains the line number and the line. */
+/** Malformed input from the simulator; the message contains the line number, the fault and the start of the line. */
 final class WireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/crankwick/simulator/WireValues.java
+++ b/src/main/java/crankwick/simulator/WireValues.java
@@ -47,14 +47,14 @@
 
     private WireValues() {}
 
-    /** Decodes the role from the combined role and position of an attempt's outcome. */
+    /** Decodes the role from the number that combines role and replication position in an attempt's outcome. */
     static Role decodeRole(long roleAndPosition) {
         return ROLES_BY_CODE[(int) (roleAndPosition & (1 << ROLE_BITS) - 1)];
     }
 
     /**
-     * Decodes the position from the combined role and position of an attempt's outcome, in milliseconds from the time
-     * origin; 0 if absent.
+     * Decodes the replication position, in milliseconds from the time origin, from the number that combines role and
+     * position in an attempt's outcome; 0 if absent.
      */
     static long decodePositionMillis(long roleAndPosition) {
         return roleAndPosition >> ROLE_BITS;
--- a/src/main/java/crankwick/tds/TdsClientCodec.java
+++ b/src/main/java/crankwick/tds/TdsClientCodec.java
@@ -8,9 +8,12 @@
 import java.nio.ByteBuffer;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
-/** Codec for client connections in TDS: no encryption, SQL batches and attentions; the user name is the team. */
+/**
+ * Codec for client connections in TDS. Accepts logins without encryption, SQL batches and attentions (cancellations);
+ * the user name of a login is the name of the team.
+ */
 public final class TdsClientCodec extends CodecFilter {
-    /** The position in LOGIN7 of the user name's offset, which its length follows. */
+    /** The position in LOGIN7 of the user name's offset, which is followed by the user name's length in characters. */
     private static final int LOGIN_USER_OFFSET = 40;
 
     private static final int ENVCHANGE_DATABASE = 1;
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -18,7 +18,10 @@
  */
 public final class TdsDatabaseCodec extends CodecFilter {
     private static final String USER = "crankwick";
-    /** The length of LOGIN7's fixed part. Its offset and length pairs end at byte 72; the second is the user name's. */
+    /**
+     * The length of LOGIN7's fixed part. Its pairs of offset and length end at byte 72; the second pair is the user
+     * name's.
+     */
     private static final int LOGIN_FIXED_BYTES = 94;
 
     private static final int LOGIN_PAIRS = 9;
@@ -30,7 +33,7 @@
     private static final int TRANSACTION_HEADER_BYTES = 18;
     private static final int TRANSACTION_HEADER = 2;
     private static final int RETURN_STATUS = 0x79;
-    /** Special lengths of a chunked value. */
+    /** Lengths of a value sent in chunks that have a special meaning. */
     private static final long NULL_LENGTH = -1;
 
     private static final long UNKNOWN_LENGTH = -2;
--- a/src/main/java/crankwick/tds/TdsDecoder.java
+++ b/src/main/java/crankwick/tds/TdsDecoder.java
@@ -7,14 +7,14 @@
 import java.nio.charset.StandardCharsets;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 
-/** Assembles packets into messages, on client and database connections. */
+/** Assembles TDS packets into messages, on client and database connections. */
 abstract class TdsDecoder extends CodecFilter.Decoder {
     private static final int MAX_MESSAGE_BYTES = 256 * 1024;
     private static final int MAX_PACKET_BYTES = 32 * 1024;
 
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-    /** Handles a complete message. Throws if a field is truncated, which makes it a protocol error. */
+    /** Handles a complete message. A truncated field throws an exception, which is reported as a protocol error. */
     protected abstract void onMessage(int type, ByteBuffer message, FilterChainContext context);
 
     @Override
--- a/src/main/java/crankwick/tds/TdsProtocol.java
+++ b/src/main/java/crankwick/tds/TdsProtocol.java
@@ -55,13 +55,16 @@
     /** The batch that requests a database's load report, which arrives as {@code stats=...} in an INFO token. */
     static final String REPORT_QUERY = "EXEC crankwick_report";
 
-    /** Error numbers that databases send. */
+    /** Error numbers that databases send; the listener also sends {@link #TOO_MANY_CONNECTIONS}. */
     static final int DATABASE_READ_ONLY = 3906;
 
     static final int REPLICA_BEHIND = 50072;
     static final int RESOURCE_LIMIT_REACHED = 10928;
     static final int TOO_MANY_CONNECTIONS = 17809;
-    /** Error numbers that the listener sends: rejections are 501xx, failures 502xx, invalid statements 50300. */
+    /**
+     * Error numbers that the listener sends: rejections are 501xx, failures 502xx, invalid statements 50300, protocol
+     * errors 50400.
+     */
     static final int LOGIN_FAILED = 18456;
 
     static final int REJECTED_GIVEN_UP = 50101;
--- a/src/main/java/crankwick/tds/TdsWriter.java
+++ b/src/main/java/crankwick/tds/TdsWriter.java
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Appends the COLMETADATA and ROW tokens of one varbinary(max) column. The value is written as its length (-1 for
-     * NULL), at most one chunk and the end of the chunks.
+     * Appends the COLMETADATA and ROW tokens of one varbinary(max) column. A NULL value is written as the length -1
+     * alone, any other value as its length, one chunk unless it is empty, and the end of the chunks.
      */
     TdsWriter row(byte[] value) {
         int8(TdsProtocol.COLMETADATA)
