--- a/src/main/java/crankwick/simulation/AuditedGroup.java
+++ b/src/main/java/crankwick/simulation/AuditedGroup.java
@@ -46,10 +46,7 @@
         return leaderLossCount;
     }
 
-    /**
-     * Whether the group has a leader and has lost none since {@link #leaderLossCount} returned {@code
-     * expectedLossCount}.
-     */
+    /** Whether the group has a leader and has lost none since its leader loss count was {@code expectedLossCount}. */
     boolean hasStableLeaderSince(long expectedLossCount) {
         return leaderLossCount == expectedLossCount && !leaderless;
     }
--- a/src/main/java/crankwick/simulation/FailoverAudit.java
+++ b/src/main/java/crankwick/simulation/FailoverAudit.java
@@ -14,10 +14,10 @@
  * and leaders, and the endpoints published to the proxy. The proxy's own state is not used, except for the number of
  * buffered requests that it releases when it detects a failover.
  *
- * <p>A group has recovered {@link #RECOVERY_MARGIN_MICROS} after an election if it could commit writes at both times
- * and kept its leader. A write counts as reachable if it was open or received while its group had no leader, its
- * deadline is not before the recovery, the proxy was not restarted before the reply, and no attempt may have been
- * executed whose key TTL ends before the recovery. Writes to a primary still warming up are counted separately.
+ * <p>A group has recovered {@link #RECOVERY_MARGIN_MICROS} after an election if it kept its leader and could commit
+ * writes at both times. A write counts as reachable if it was open or received while its group had no leader, its
+ * deadline is not before the recovery, its proxy process did not end before the reply, and it has no attempt that may
+ * have been executed and whose key TTL ends before the recovery. Writes to a warming-up primary count separately.
  */
 final class FailoverAudit {
     /** The time after an election that the proxy is given to detect the new primary and execute a write. */
--- a/src/main/java/crankwick/simulation/ModelNetwork.java
+++ b/src/main/java/crankwick/simulation/ModelNetwork.java
@@ -78,7 +78,8 @@
     }
 
     /**
-     * Ends the attempt in flight of a request at once; its connection to the member is closed after a network delay.
+     * Ends the attempt in flight of a request at once, without a result for the proxy; its connection to the member is
+     * closed after a network delay.
      */
     void cancelAttempt(long requestId) {
         NetworkExchange exchange = attempts.remove(requestId);
@@ -90,7 +91,10 @@
         }
     }
 
-    /** Ends the attempt in flight of a request with NOT_SENT, unless it has already been written to a member. */
+    /**
+     * Ends the attempt in flight of a request, with NOT_SENT as its result for the proxy, unless it has already been
+     * written to a member.
+     */
     void cancelQueued(long requestId) {
         NetworkExchange exchange = attempts.get(requestId);
         if (exchange != null && !exchange.isWritten()) {
--- a/src/main/java/crankwick/simulation/PolledDiscovery.java
+++ b/src/main/java/crankwick/simulation/PolledDiscovery.java
@@ -50,8 +50,7 @@
 
     /**
      * Admits a call of a proxy that received its last response at the given time. Returns the queueing delay in
-     * microseconds, or {@link #REJECTED} if discovery is down or the delay would exceed {@link
-     * #MAX_QUEUE_DELAY_MICROS}.
+     * microseconds, or {@link #REJECTED} if discovery is down or the delay would be more than 2 s.
      */
     long admit(long lastResponseAt) {
         long now = clock.now();
--- a/src/main/java/crankwick/tds/TdsDatabaseCodec.java
+++ b/src/main/java/crankwick/tds/TdsDatabaseCodec.java
@@ -33,7 +33,9 @@
     private static final int TRANSACTION_HEADER_BYTES = 18;
     private static final int TRANSACTION_HEADER = 2;
     private static final int RETURN_STATUS = 0x79;
-    /** Lengths of a value sent in chunks that have a special meaning. */
+    /**
+     * Special values of the length of a value that is sent in chunks: NULL, and a length that is not known in advance.
+     */
     private static final long NULL_LENGTH = -1;
 
     private static final long UNKNOWN_LENGTH = -2;
