--- a/src/main/java/crankwick/client/AcceptLimiter.java
+++ b/src/main/java/crankwick/client/AcceptLimiter.java
@@ -5,8 +5,9 @@
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 
 /**
- * Limits the connections that use a file descriptor; they are counted on the transport's threads as they open and
- * close. Above the limit, accepting pauses until connections close: running out of descriptors would fail the process.
+ * Limits a listener's open client connections, each of which uses a file descriptor: running out of descriptors would
+ * fail the process. The transport's threads count the connections as they open and close. Above the limit, accepting
+ * pauses until connections close.
  */
 final class AcceptLimiter {
     /** Connections that may be open above the session limit while the event loop evicts others. */
@@ -35,7 +36,10 @@
         updateAccepting();
     }
 
-    /** True if no connection is open; connections that the event loop has not processed yet count as open. */
+    /**
+     * True if no client connection is open. A connection counts from its accept on, before the event loop processes the
+     * accept.
+     */
     synchronized boolean hasNoConnections() {
         return connections == 0;
     }
--- a/src/main/java/crankwick/client/ByteBudget.java
+++ b/src/main/java/crankwick/client/ByteBudget.java
@@ -11,12 +11,17 @@
         this.maxBytes = maxBytes;
     }
 
-    /** The maximum number of bytes that a single connection may reserve. */
+    /**
+     * The maximum number of bytes that a single connection may reserve: half of the budget. The caller checks this
+     * limit; {@link #reserve} does not.
+     */
     long maxPerConnection() {
         return maxBytes / 2;
     }
 
-    /** Reserves bytes until {@link #release}; returns false and reserves nothing if they exceed the budget. */
+    /**
+     * Reserves bytes until {@link #release}; returns false and reserves nothing if the total would exceed the budget.
+     */
     boolean reserve(long bytes) {
         if (reserved.addAndGet(bytes) <= maxBytes) {
             return true;
@@ -25,7 +30,7 @@
         return false;
     }
 
-    /** Reserves bytes even if they exceed the budget. */
+    /** Reserves bytes until {@link #release}, even if the total then exceeds the budget. */
     void reserveUnchecked(long bytes) {
         reserved.addAndGet(bytes);
     }
--- a/src/main/java/crankwick/client/ClientCommand.java
+++ b/src/main/java/crankwick/client/ClientCommand.java
@@ -3,16 +3,17 @@
 import crankwick.statement.Statement;
 
 /**
- * A client's command, queued until its reply is written in order. Owned by the event loop; the thread that writes to
- * databases uses only the public methods.
+ * A client's command, queued on its session until its reply is handed to the transport in the order of the commands.
+ * Owned by the event loop, with two exceptions: the thread that writes to databases calls the public methods, and the
+ * thread that completes the write of a reply reads the command's reply and message.
  */
 public final class ClientCommand {
     final ClientSession session;
-    /** Identifies the request in broker events; unique among the listener's commands. */
+    /** Unique among the listener's commands; identifies the command's request, if it is one, in broker events. */
     final long requestId;
     /** The client's message; null for an error that the listener itself reports. */
     final ClientMessage message;
-    /** Null until the reply is available. */
+    /** The reply to write; null until the reply is available. */
     ClientReply reply;
     /** The replies still to be written for this queue entry: one for each of the consecutive commands sharing it. */
     long pendingReplies = 1;
@@ -38,7 +39,7 @@
         this.readAt = readAt;
     }
 
-    /** The statement; null if the command is not a request. */
+    /** The request's statement; null if the command is not a request, or if its statement was invalid. */
     public Statement statement() {
         return statement;
     }
@@ -48,7 +49,9 @@
         return readAt;
     }
 
-    /** True once the client has closed its connection or cancelled the command. Safe on any thread. */
+    /**
+     * True once the connection has closed, by either side, or the client has cancelled the command. Safe on any thread.
+     */
     public boolean isAbandoned() {
         return session.isAbandoned(messageNumber);
     }
--- a/src/main/java/crankwick/client/ClientCounters.java
+++ b/src/main/java/crankwick/client/ClientCounters.java
@@ -22,12 +22,12 @@
         rejected.incrementAndGet();
     }
 
-    /** A connection closed with unanswered commands. */
+    /** A connection closed while commands were still queued for their replies. */
     void countClosedUnanswered() {
         closedUnanswered.incrementAndGet();
     }
 
-    /** A read's reply was dropped because it exceeded the reply budget. */
+    /** A read's reply was replaced by a rejection because its value exceeded the reply budget. */
     void countDroppedReply() {
         droppedReplies.incrementAndGet();
     }
@@ -41,7 +41,7 @@
         overLimitCommands.incrementAndGet();
     }
 
-    /** Reading from a client resumed after a pause of this length. */
+    /** Reading from a client resumed after a pause of {@code millis} milliseconds. */
     void countReadPause(long millis) {
         readPauses.incrementAndGet();
         maxReadPauseMillis.accumulateAndGet(millis, Math::max);
--- a/src/main/java/crankwick/client/ClientListener.java
+++ b/src/main/java/crankwick/client/ClientListener.java
@@ -26,15 +26,15 @@
  * a {@link ClientCommand}: a reply is queued until all earlier commands are answered.
  *
  * <p>The commands that a client may have open are limited; a command over the limits is rejected, with its reply in
- * order. Clients that do not send a command, complete it or read replies in time are disconnected. At the connection
- * limit, lingering and idle sessions are evicted. An idle connection is closed on the thread that reads from it, so
- * that no command is read between the idle check and the close.
+ * order. A client is disconnected if it does not send a command, complete a partly sent command or read its replies in
+ * time. If a new connection exceeds the connection limit, a lingering or idle session is evicted. An idle connection is
+ * closed on the thread that reads from it, so that no command is read between the idle check and the close.
  */
 public final class ClientListener {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
-    /** The maximum heap for statements of open commands. */
+    /** The budget, shared by all connections, for the statements of commands whose replies are not written yet. */
     private static final long MAX_STATEMENT_BYTES = Runtime.getRuntime().maxMemory() / 6;
-    /** The maximum heap for values of replies that are not written yet. */
+    /** The budget, shared by all connections, for the values of replies that are not written yet. */
     private static final long MAX_REPLY_BYTES = Runtime.getRuntime().maxMemory() / 4;
 
     private static final long OVER_LIMIT_RETRY_AFTER_MICROS = 100_000;
@@ -83,14 +83,17 @@
         sweeper.schedule();
     }
 
-    /** Marks the proxy as ready: pending empty queries are answered now, later ones on arrival. */
+    /**
+     * Marks the proxy as ready: replies to the empty queries that wait for this and, from now on, to each one that
+     * arrives.
+     */
     public void markReady() {
         admission.markReady();
     }
 
     /**
-     * Stops accepting connections and closes each open one once it is idle. Requests that are still open at
-     * {@code deadlineMicros} fail.
+     * Stops accepting connections and closes each open connection once it is idle. Requests that are still unanswered
+     * at {@code deadlineMicros}, in microseconds of Unix time, fail.
      */
     public void beginShutdown(long deadlineMicros) {
         writer.beginShutdown();
@@ -105,8 +108,8 @@
     }
 
     /**
-     * Runs at the shutdown deadline: fails open requests and stops reading, so that connections with continuous input
-     * become idle and close.
+     * Runs at the shutdown deadline: fails unanswered requests and stops reading, so that a connection whose client
+     * keeps sending also becomes idle and closes.
      */
     private void stopReading() {
         requests.expireAll();
@@ -116,7 +119,10 @@
         }
     }
 
-    /** True if no connection is open; connections that the event loop has not processed yet count as open. */
+    /**
+     * True if no client connection is open. A connection counts from its accept on, before the event loop processes the
+     * accept.
+     */
     public boolean hasNoConnections() {
         return acceptLimiter.hasNoConnections();
     }
@@ -131,12 +137,12 @@
         return counters + " open_bytes=" + statementBudget.reserved() + " answer_bytes=" + replyBudget.reserved();
     }
 
-    /** The open command of a request; null if the request is answered or abandoned. */
+    /** The command of an unanswered request; null if the request is answered or abandoned. */
     public ClientCommand findCommand(long requestId) {
         return requests.find(requestId);
     }
 
-    /** Replies to a request, unless it has been abandoned. */
+    /** Replies to a request; does nothing if the request is already answered or abandoned. */
     public void reply(long requestId, Reply reply) {
         ClientCommand command = requests.remove(requestId);
         if (command != null) {
@@ -160,7 +166,10 @@
         }
     }
 
-    /** The last filter of the chain: passes decoded messages to the event loop. */
+    /**
+     * The last filter of the chain: counts accepted connections, and passes accepts, decoded messages and closes to the
+     * event loop.
+     */
     private final class Receiver extends BaseFilter {
         @Override
         public NextAction handleAccept(FilterChainContext context) {
--- a/src/main/java/crankwick/client/ClientMessage.java
+++ b/src/main/java/crankwick/client/ClientMessage.java
@@ -2,7 +2,7 @@
 
 /** A message from a client, of any protocol. */
 public sealed interface ClientMessage {
-    /** The bytes of the message that are retained until it is answered. */
+    /** The size of the text that is retained until the message is answered; 0 for a message without text. */
     default int bytes() {
         return 0;
     }
@@ -24,12 +24,12 @@
     /** A command that exceeds the limits on open commands; its text has been dropped. */
     record OverLimit() implements ClientMessage {}
 
-    /** The client cancels its unanswered commands (an attention on TDS). */
+    /** The client cancels all its unanswered commands (an attention on TDS). */
     record Cancel() implements ClientMessage {}
 
-    /** The client closes the connection. */
+    /** The client announces that it closes the connection. */
     record Terminate() implements ClientMessage {}
 
-    /** Malformed input; no further input is decoded. */
+    /** Malformed input from the client; no further input of the connection is decoded. */
     record ProtocolError(String fault) implements ClientMessage {}
 }
--- a/src/main/java/crankwick/client/ClientReply.java
+++ b/src/main/java/crankwick/client/ClientReply.java
@@ -9,7 +9,7 @@
         return 0;
     }
 
-    /** Why the proxy closes a connection. */
+    /** Why the proxy closes a connection with an error. */
     enum Cause {
         TOO_MANY_CONNECTIONS,
         UNKNOWN_TEAM,
@@ -30,10 +30,10 @@
         }
     }
 
-    /** A statement was invalid; the connection stays open. */
+    /** Reports that a statement is invalid; the connection stays open. */
     record InvalidStatement(String fault) implements ClientReply {}
 
-    /** Confirms a cancel; the cancelled commands get no reply. */
+    /** Confirms a {@link ClientMessage.Cancel}; the cancelled commands get no reply. */
     record CancelAcknowledged() implements ClientReply {}
 
     /** An error after which the connection is closed. */
--- a/src/main/java/crankwick/client/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -16,32 +16,45 @@
  * One client connection. The non-private fields belong to the event loop; state that the loop shares with the selector
  * thread is accessed through synchronized methods.
  *
- * <p>Reading continues however many commands a client has open, because a close or a cancel is detected only by
- * reading. Commands over the limits are read as {@link ClientMessage.OverLimit}, without their text.
+ * <p>Reading does not stop at the limits on a client's open commands, because a close or a cancel is detected only by
+ * reading. Commands over these limits are read as {@link ClientMessage.OverLimit}, without their text. Reading pauses
+ * only at {@link #MAX_UNDELIVERED_MESSAGES}.
  */
 final class ClientSession {
     private static final Logger LOG = LoggerFactory.getLogger(ClientSession.class);
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** Longer read pauses are logged, because a close by the client is not detected during a pause. */
+    /** Read pauses longer than this are logged, because a close by the client is not detected during a pause. */
     private static final long LONG_READ_PAUSE_MILLIS = 50;
 
     private static final int MAX_OPEN_COMMANDS = 1_024;
     private static final long MAX_OPEN_STATEMENT_BYTES = 1 << 20;
-    /** Reading pauses at this number of unprocessed messages, until the event loop has processed half of them. */
+    /**
+     * Reading pauses when this many messages have been read that the event loop has not processed; it resumes when at
+     * most half as many are left.
+     */
     private static final int MAX_UNDELIVERED_MESSAGES = 4_096;
-    /** Further replies stay queued while this many bytes of earlier replies are not written. */
+    /**
+     * No further reply is written while this many bytes of earlier replies, or more, are unwritten. {@link #onWritten}
+     * reports when at most half as many are left.
+     */
     private static final long MAX_UNWRITTEN_BYTES = 256 * 1_024;
 
     final Connection<SocketAddress> connection;
-    /** Commands in the order in which their replies go out. */
+    /** Commands whose replies are not handed to the transport yet, in the order in which the replies are sent. */
     final Deque<ClientCommand> commands = new ArrayDeque<>();
 
     String team;
-    /** Whether the client has ever sent a command. */
+    /**
+     * Whether a query or an empty query of the client has been processed; logins, cancels and commands over the limits
+     * do not count.
+     */
     boolean hasSentCommand;
-    /** No further command is accepted: the connection closes after the replies to earlier ones. */
+    /** Further messages of the client are ignored; the connection closes after the replies to earlier commands. */
     boolean closing;
-    /** A close is pending; it is abandoned if a command has just been read. */
+    /**
+     * A close of the idle session is waiting for pending input to be read; the session stays open if a message arrives
+     * by then.
+     */
     boolean closePending;
 
     long idleSinceMicros;
@@ -53,12 +66,15 @@
     private final ByteBudget statementBudget;
     private final ByteBudget replyBudget;
     private final ClientCounters counters;
-    /** Messages that are not answered yet; {@link #openCommands} counts those that count towards the limits. */
+    /**
+     * Messages that have been read and whose replies are not written yet, of every kind; {@link #openCommands} counts
+     * only the queries and empty queries among them that were within the limits.
+     */
     private long unansweredMessages;
 
     private int openCommands;
     private long openStatementBytes;
-    /** Bytes of the values of replies that are not written yet. */
+    /** Reserved bytes of the reply budget, for the values of replies that are not written yet. */
     private long replyBytes;
 
     private int undeliveredMessages;
@@ -68,11 +84,14 @@
     private int unwrittenReplies;
     private long unwrittenBytes;
     private long unwrittenSinceMicros;
-    /** Ready replies stay queued until earlier ones are written. */
+    /**
+     * Set when {@link #mayWrite} refuses a reply; cleared by {@link #onWritten} when at most half the limit is
+     * unwritten.
+     */
     private boolean writeBlocked;
 
     private long messagesRead;
-    /** The messages up to this number are cancelled. */
+    /** The number of the last cancel that was read, which cancels all messages before it; 0 if there was none. */
     private long lastCancelledMessage;
 
     private boolean closed;
@@ -89,8 +108,9 @@
     }
 
     /**
-     * Counts messages that have been read. Returns the messages to pass to the event loop, with commands over the
-     * limits replaced by {@link ClientMessage.OverLimit}. Called on the selector thread.
+     * Counts messages that have been read and pauses reading if too many are unprocessed. Returns the messages to pass
+     * to the event loop, with commands over the limits replaced by {@link ClientMessage.OverLimit}. Called on the
+     * selector thread.
      */
     synchronized List<ClientMessage> onMessagesRead(List<ClientMessage> messages) {
         List<ClientMessage> admitted = new ArrayList<>(messages.size());
@@ -128,7 +148,10 @@
         return message;
     }
 
-    /** Called when the event loop processes a message; returns the number of the message. */
+    /**
+     * Called when the event loop processes a message; returns the number of the message on its connection, from 1. May
+     * resume reading.
+     */
     synchronized long onMessageDelivered() {
         undeliveredMessages--;
         if (readPaused && undeliveredMessages <= MAX_UNDELIVERED_MESSAGES / 2) {
@@ -139,7 +162,10 @@
         return ++messagesDelivered;
     }
 
-    /** {@code count} consecutive messages like this one have their replies written, or need no reply. */
+    /**
+     * Records that {@code count} consecutive messages are answered: their replies are written, or they get none. The
+     * count exceeds 1 only for commands over the limits, which share a queue entry.
+     */
     synchronized void onAnswered(ClientMessage message, long count) {
         unansweredMessages -= count;
         if (message instanceof ClientMessage.Query || message instanceof ClientMessage.EmptyQuery) {
@@ -149,13 +175,16 @@
     }
 
     private void releaseStatement(long bytes) {
-        // Guards against a double release: onClosed() has released all bytes of the session.
+        // Guards against a double release: after onClosed(), which releases all bytes of the session, none are left.
         long reserved = Math.min(bytes, openStatementBytes);
         openStatementBytes -= reserved;
         statementBudget.release(reserved);
     }
 
-    /** Reserves the bytes of a reply until {@link #releaseReply}; false if they exceed the budget. */
+    /**
+     * Reserves the bytes of a reply until {@link #releaseReply}; false if they exceed the budget or the session's share
+     * of it. Returns true without a reservation if the connection has closed.
+     */
     synchronized boolean reserveReply(long bytes) {
         if (closed) {
             return true;
@@ -165,7 +194,10 @@
         return fits;
     }
 
-    /** Reserves the bytes of a reply that must not be dropped, even if they exceed the budget. */
+    /**
+     * Reserves the bytes of a reply that must not be dropped, even if they exceed the budget; does nothing if the
+     * connection has closed.
+     */
     synchronized void reserveReplyUnchecked(long bytes) {
         if (!closed) {
             replyBudget.reserveUnchecked(bytes);
@@ -191,7 +223,7 @@
         }
     }
 
-    /** Stops reading; commands that have been read are still answered. */
+    /** Stops reading for good; commands that have been read are still answered. */
     synchronized void stopReading() {
         readingStopped = true;
         setReading(false);
@@ -201,7 +233,10 @@
         Transport.setInterest(connection, IOEvent.READ, enabled);
     }
 
-    /** The connection has been closed, by the client or by the proxy. Called on the selector thread. */
+    /**
+     * Called on the selector thread when the connection has been closed, by the client or by the proxy; releases its
+     * reserved bytes.
+     */
     synchronized void onClosed() {
         closed = true;
         releaseStatement(openStatementBytes);
@@ -212,15 +247,15 @@
         return closed || messageNumber > 0 && messageNumber <= lastCancelledMessage;
     }
 
-    /** True if a message has been read that is not answered yet. */
+    /** True if a message has been read whose reply is not written yet. */
     synchronized boolean hasUnansweredMessage() {
         return unansweredMessages > 0;
     }
 
     /**
      * Closes the connection on the selector thread after pending input is read, so that nothing is read between the
-     * check and the close. If a message is unanswered, or one is partly received while reading is enabled, the
-     * connection stays open and {@code whenBusy} runs.
+     * check and the close. If a message is unanswered, or one is partly received and {@link #stopReading} has not been
+     * called, the connection stays open and {@code whenBusy} runs.
      */
     void closeUnlessBusy(CodecFilter codec, Runnable whenBusy) {
         Transport.afterPendingReads(connection, () -> {
@@ -236,7 +271,10 @@
         return readingStopped;
     }
 
-    /** True if another reply may be written now; otherwise {@link #onWritten} reports when writing may resume. */
+    /**
+     * True if another reply may be written now. If false, {@link #onWritten} later returns true when writing may
+     * resume.
+     */
     synchronized boolean mayWrite() {
         writeBlocked = unwrittenBytes >= MAX_UNWRITTEN_BYTES;
         return !writeBlocked;
@@ -247,7 +285,10 @@
         unwrittenBytes += bytes;
     }
 
-    /** A reply has been written; returns true if queued replies may now be written. */
+    /**
+     * Records that a reply has been written. Returns true if {@link #mayWrite} had refused a reply and at most half of
+     * the limit on unwritten bytes is left, so that queued replies may be written again.
+     */
     synchronized boolean onWritten(long bytes, long now) {
         unwrittenReplies--;
         unwrittenBytes -= bytes;
@@ -261,7 +302,10 @@
         return unwrittenReplies > 0 && unwrittenSinceMicros < since;
     }
 
-    /** True once the last reply is queued for writing: the client has limited time to read it and to close. */
+    /**
+     * True once the last reply, if there is one, is queued for writing: the client has limited time to read it and to
+     * close.
+     */
     boolean isLingering() {
         return lingerUntilMicros > 0;
     }
@@ -275,7 +319,10 @@
         return commands.isEmpty() && !isLingering();
     }
 
-    /** Lingering sessions are evicted first, then those that have never sent a command, then the longest idle. */
+    /**
+     * Lingering sessions are evicted first, then those that have never sent a command, then the others; among equals,
+     * the longest idle session goes first.
+     */
     boolean isEvictedBefore(ClientSession other) {
         return evictionRank() != other.evictionRank()
                 ? evictionRank() < other.evictionRank()
--- a/src/main/java/crankwick/client/CommandAdmission.java
+++ b/src/main/java/crankwick/client/CommandAdmission.java
@@ -27,7 +27,10 @@
     private final OrderedReplyWriter writer;
     private final Reply overLimitReply;
     private boolean ready;
-    /** Caps the deadline of requests during shutdown: their own timeout may exceed the time left. */
+    /**
+     * The shutdown deadline, or {@code Long.MAX_VALUE}. It caps the deadlines of requests, as their own timeout may
+     * exceed the time left.
+     */
     private long shutdownDeadlineMicros = Long.MAX_VALUE;
 
     CommandAdmission(
@@ -48,7 +51,10 @@
         this.overLimitReply = overLimitReply;
     }
 
-    /** Marks the proxy as ready: answers pending empty queries now and later ones on arrival. */
+    /**
+     * Marks the proxy as ready: replies to the empty queries that wait for this and, from now on, to each one that
+     * arrives.
+     */
     void markReady() {
         ready = true;
         for (ClientSession session : sessions.snapshot()) {
@@ -61,12 +67,12 @@
         }
     }
 
-    /** Caps the deadlines of further requests. */
+    /** Caps the deadlines of requests that are processed from now on. */
     void limitDeadlines(long deadlineMicros) {
         shutdownDeadlineMicros = deadlineMicros;
     }
 
-    /** Processes a message that was read at {@code readAt}. */
+    /** Processes a message that was read at {@code readAt}, in microseconds of Unix time. */
     void onMessage(ClientSession session, ClientMessage message, long readAt) {
         long number = session.onMessageDelivered();
         if (session.closing || !sessions.contains(session)) {
@@ -142,7 +148,10 @@
         }
     }
 
-    /** Queues a command on its session; {@code reply} is null if it is not available yet. */
+    /**
+     * Queues a command on its session and writes the replies that are ready; {@code reply} is null if it is not
+     * available yet.
+     */
     private void add(ClientCommand command, ClientReply reply) {
         command.reply = reply;
         command.session.commands.add(command);
--- a/src/main/java/crankwick/client/IdleSweeper.java
+++ b/src/main/java/crankwick/client/IdleSweeper.java
@@ -4,10 +4,15 @@
 import crankwick.transport.CodecFilter;
 import crankwick.transport.EventLoop;
 
-/** Periodically closes sessions that do not send, complete or read in time. Confined to the event loop. */
+/**
+ * Periodically closes sessions whose clients do not send a command, complete a partly sent command or read replies in
+ * time. Confined to the event loop.
+ */
 final class IdleSweeper {
     private static final long SWEEP_INTERVAL_MICROS = 100_000;
-    /** The idle timeout before the first command; restarts at each reply, such as the reply to a login. */
+    /**
+     * The idle timeout before the first command; it restarts whenever a reply is written, such as the reply to a login.
+     */
     private static final long FIRST_COMMAND_TIMEOUT_MICROS = 2_000_000;
 
     private static final long COMMAND_STALL_TIMEOUT_MICROS = 2_000_000;
@@ -15,7 +20,7 @@
     private static final long UNREAD_REPLY_TIMEOUT_MICROS = 5_000_000;
 
     private static final long IDLE_TIMEOUT_MICROS = 10_000_000;
-    /** The idle timeout while more than half of the session limit is used. */
+    /** Replaces {@link #IDLE_TIMEOUT_MICROS} while there are more sessions than half of the session limit. */
     private static final long REDUCED_IDLE_TIMEOUT_MICROS = 2_000_000;
 
     private final EventLoop loop;
@@ -32,7 +37,7 @@
         this.writer = writer;
     }
 
-    /** Schedules the next sweep; each sweep schedules another. */
+    /** Schedules the first or next sweep; each sweep schedules the one after it. */
     void schedule() {
         loop.schedule(SWEEP_INTERVAL_MICROS, this::sweep);
     }
--- a/src/main/java/crankwick/client/OpenRequests.java
+++ b/src/main/java/crankwick/client/OpenRequests.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The requests that are not answered yet, by id. Confined to the event loop. */
+/** The requests of all sessions that are neither answered nor abandoned, by id. Confined to the event loop. */
 final class OpenRequests {
     private final BrokerEventSink broker;
     private final Map<Long, ClientCommand> commandsById = new HashMap<>();
@@ -27,17 +27,20 @@
         commandsById.put(command.requestId, command);
     }
 
-    /** Null if the request is answered or abandoned. */
+    /** Returns the command of a request; null if the request is answered or abandoned. */
     ClientCommand find(long requestId) {
         return commandsById.get(requestId);
     }
 
-    /** Null if the request is answered or abandoned. */
+    /** Removes a request and returns its command; null if the request is already answered or abandoned. */
     ClientCommand remove(long requestId) {
         return commandsById.remove(requestId);
     }
 
-    /** Abandons all commands of the session: the client expects no reply to them. */
+    /**
+     * Removes all queued commands of a session without replies, and reports to the broker that their requests are
+     * abandoned.
+     */
     void abandon(ClientSession session, AbandonReason reason) {
         List<ClientCommand> abandoned = new ArrayList<>(session.commands);
         session.commands.clear();
@@ -50,7 +53,7 @@
         }
     }
 
-    /** Reports to the broker that every open request has reached its deadline. */
+    /** Reports to the broker that every unanswered request has reached its deadline, although its own may be later. */
     void expireAll() {
         for (long requestId : List.copyOf(commandsById.keySet())) {
             broker.publish(new BrokerEvent.DeadlineReached(requestId));
--- a/src/main/java/crankwick/client/OrderedReplyWriter.java
+++ b/src/main/java/crankwick/client/OrderedReplyWriter.java
@@ -9,15 +9,15 @@
 import org.glassfish.grizzly.WriteResult;
 
 /**
- * Writes the replies of each session in the order of its commands, with a limit on bytes that are queued but not
- * written. Closes sessions after their last reply. Confined to the event loop.
+ * Writes the replies of each session in the order of its commands, with a limit on the bytes that are handed to the
+ * transport but not written. Closes sessions after their last reply. Confined to the event loop.
  */
 final class OrderedReplyWriter {
-    /** The maximum size of a reply besides its value. */
+    /** The size that is counted for a reply in addition to its value; an upper bound. */
     private static final int REPLY_OVERHEAD_BYTES = 256;
     /**
-     * How long input is read and dropped after the last reply: closing with unread input sends a reset, on which the
-     * client may lose that reply.
+     * How long a connection stays open, with input read and dropped, after its last reply: closing with unread input
+     * sends a reset, on which the client may lose that reply.
      */
     private static final long LINGER_MICROS = 2_000_000;
 
@@ -54,7 +54,10 @@
         return shuttingDown;
     }
 
-    /** Writes ready replies, then closes an idle session if it is closing or the listener is shutting down. */
+    /**
+     * Writes the replies that are ready, then closes the session if it is idle and either it is closing or the listener
+     * is shutting down.
+     */
     void flush(ClientSession session) {
         writeReady(session);
         if (session.closing && session.isIdle()) {
@@ -65,7 +68,10 @@
         }
     }
 
-    /** Replies to a request; a read's reply over the budget is dropped, as the read may be retried. */
+    /**
+     * Replies to a request. If a served read's reply exceeds the reply budget, a rejection replaces it, as the read may
+     * be retried.
+     */
     void reply(ClientCommand command, Reply reply) {
         command.reply = reserveOrReplace(command.session, reply);
         flush(command.session);
@@ -93,7 +99,10 @@
         flush(session);
     }
 
-    /** Writes the last reply at once and shuts down output; the client has limited time to read it and to close. */
+    /**
+     * Writes the last reply without waiting for queued ones, then shuts down output; the client has limited time to
+     * read the reply and to close.
+     */
     void closeAfterReply(ClientSession session, ClientReply lastReply) {
         session.closing = true;
         session.lingerUntilMicros = clock.now() + LINGER_MICROS;
@@ -133,7 +142,10 @@
         }
     }
 
-    /** Releases a reply's reserved bytes once it is written, on the thread that completed the write. */
+    /**
+     * Releases a reply's reserved bytes once it is written, on the thread that completed the write. Closes the
+     * connection if the write fails.
+     */
     private final class ReplyHandler extends EmptyCompletionHandler<WriteResult<ClientReply, SocketAddress>> {
         private final ClientSession session;
         private final ClientCommand command;
--- a/src/main/java/crankwick/client/RequestDecoder.java
+++ b/src/main/java/crankwick/client/RequestDecoder.java
@@ -23,7 +23,10 @@
         }
     }
 
-    /** Parses a statement; throws IllegalArgumentException with a message for the client. */
+    /**
+     * Parses a statement and checks its class and idempotency key; throws IllegalArgumentException with a message for
+     * the client.
+     */
     Statement decode(String text) {
         Statement statement = Statement.parse(text);
         Integer classIndex = classIndexes.get(statement.requestClassName());
--- a/src/main/java/crankwick/client/SessionTable.java
+++ b/src/main/java/crankwick/client/SessionTable.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** The sessions of a listener. Above the limit, sessions are evicted. Confined to the event loop. */
+/**
+ * The sessions of a listener. Each new session above the limit evicts another one; sessions whose close is pending do
+ * not count. Confined to the event loop.
+ */
 final class SessionTable {
     private final EventLoop loop;
     private final CodecFilter codec;
@@ -26,7 +29,10 @@
         this.maxSessions = maxSessions;
     }
 
-    /** Adds a session; returns false if the limit is exceeded and no other session can be evicted. */
+    /**
+     * Adds a session, evicting another one if the limit is exceeded. Returns false if none can be evicted; the new
+     * session then stays in the table until its connection closes.
+     */
     boolean add(ClientSession session) {
         sessions.add(session);
         return !isOverLimit() || evictOne(session);
@@ -41,7 +47,7 @@
         return List.copyOf(sessions);
     }
 
-    /** True if more than half of the limit is used. */
+    /** True if there are more sessions than half of the limit. */
     boolean isOverHalfFull() {
         return sessions.size() > maxSessions / 2;
     }
@@ -50,7 +56,10 @@
         return sessions.size() - pendingCloses > maxSessions;
     }
 
-    /** Evicts a lingering session, otherwise one that has never sent a command, otherwise the longest idle. */
+    /**
+     * Evicts the session that comes first by {@link ClientSession#isEvictedBefore}, other than the new one; false if
+     * none is evictable.
+     */
     private boolean evictOne(ClientSession newSession) {
         ClientSession candidate = null;
         for (ClientSession session : sessions) {
@@ -72,7 +81,10 @@
         return true;
     }
 
-    /** Closes an idle session. If a command has just been read from it, evicts another if over the limit. */
+    /**
+     * Closes an idle session after its pending input is read. If that input has a message, even an incomplete one, the
+     * session stays open, and another one is evicted if the limit is exceeded.
+     */
     void closeUnlessBusy(ClientSession session) {
         if (session.closePending) {
             return;
@@ -96,7 +108,7 @@
         }
     }
 
-    /** The session's connection has closed. */
+    /** Removes a session whose connection has closed or is being terminated, and abandons its commands. */
     void onClosed(ClientSession session) {
         clearPendingClose(session);
         if (sessions.remove(session)) {
--- a/src/main/java/crankwick/database/AttemptExchange.java
+++ b/src/main/java/crankwick/database/AttemptExchange.java
@@ -10,7 +10,10 @@
 /** Sends one attempt of a client's request and publishes its outcome to the broker. */
 final class AttemptExchange extends Exchange {
     private static final long MICROS_PER_MILLI = 1_000;
-    /** A command read within this period is sent without reading its client's further input first. */
+    /**
+     * A command that was read from the client at most this long ago is sent without reading the client's further input
+     * first.
+     */
     private static final long CLIENT_RECHECK_AGE_MICROS = 10_000;
 
     private final PoolContext context;
--- a/src/main/java/crankwick/database/CommandSource.java
+++ b/src/main/java/crankwick/database/CommandSource.java
@@ -10,6 +10,6 @@
     /** When the command was read from the client, in microseconds of Unix time. */
     long readAt();
 
-    /** True once the client has closed its connection or cancelled the command. */
+    /** True once the client connection has closed, by either side, or the client has cancelled the command. */
     boolean isAbandoned();
 }
--- a/src/main/java/crankwick/database/DatabaseMessage.java
+++ b/src/main/java/crankwick/database/DatabaseMessage.java
@@ -6,7 +6,7 @@
 
 /** A message from a database, independent of the protocol that decoded it. */
 public sealed interface DatabaseMessage {
-    /** The handshake is complete: the connection accepts statements. */
+    /** The handshake is complete: the connection accepts commands. */
     record ConnectionReady() implements DatabaseMessage {}
 
     /** The complete response to a command; {@code closesConnection} if the database closes the connection after it. */
--- a/src/main/java/crankwick/database/DatabasePool.java
+++ b/src/main/java/crankwick/database/DatabasePool.java
@@ -19,17 +19,22 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Pool of connections to all databases. A connection serves one {@link Exchange} at a time; it returns to the pool in
- * {@link PooledConnection.Owner#release} and is closed in {@link PooledConnection#discard}. Confined to the event
- * loop.
+ * Pool of connections to all databases. A connection serves one {@link Exchange} at a time; then it becomes idle in
+ * {@link PooledConnection.Owner#release} or is closed in {@link PooledConnection#discard}. Confined to the event loop.
  */
 public final class DatabasePool {
     private static final long HEALTH_CHECK_TIMEOUT_MICROS = 250_000;
-    /** Idle connections are closed well before the database's idle timeout could close them under a request. */
+    /**
+     * The fraction of the database's idle timeout after which the pool closes an idle connection, so that the database
+     * does not close it under a request.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
     private static final long REAP_INTERVAL_MICROS = 1_000_000;
-    /** A connection is not reused this soon after a response, so that unsolicited bytes after it are detected. */
+    /**
+     * A connection sends no further command this soon after it became idle, so that unsolicited bytes after the last
+     * response are detected.
+     */
     private static final long POST_RESPONSE_QUARANTINE_MICROS = 10_000;
 
     private static final long STALL_CHECK_INTERVAL_MICROS = 50_000;
@@ -74,14 +79,16 @@
         hosts.update(kind, entries, context.clock().now());
     }
 
-    /** Starts an attempt of a client's request. */
+    /**
+     * Starts an attempt of a client's request; the attempt ends with NOT_SENT if no connection can be used or opened.
+     */
     public void send(Effect.SendAttempt attempt, CommandSource source) {
         AttemptExchange exchange = new AttemptExchange(context, attempt, source, activeAttempts);
         activeAttempts.put(attempt.requestId(), exchange);
         dispatch(exchange);
     }
 
-    /** Aborts a request's attempt, which the broker has already recorded as ended. */
+    /** Aborts a request's attempt without reporting its end to the broker, which has already recorded it. */
     public void cancelAttempt(long requestId) {
         AttemptExchange exchange = activeAttempts.remove(requestId);
         if (exchange != null) {
@@ -90,7 +97,9 @@
         }
     }
 
-    /** Ends a request's attempt unless writing its command has begun; otherwise the attempt continues. */
+    /**
+     * Ends a request's attempt with NOT_SENT unless writing its command has begun; in that case, the attempt continues.
+     */
     public void cancelQueued(long requestId) {
         AttemptExchange exchange = activeAttempts.get(requestId);
         if (exchange != null) {
@@ -105,7 +114,11 @@
         dispatch(exchange);
     }
 
-    /** Uses an idle connection past its quarantine, else one still in quarantine, else a new connection. */
+    /**
+     * Assigns an exchange to an idle connection past its quarantine, else to one still in quarantine, else to a new
+     * connection. If the host is not listed or the connection limit is reached and no connection is idle, the exchange
+     * ends with NOT_SENT.
+     */
     private void dispatch(Exchange exchange) {
         Host host = hosts.find(exchange.endpointId());
         long quarantinedAfter = context.clock().now() - POST_RESPONSE_QUARANTINE_MICROS;
@@ -130,7 +143,9 @@
         new PooledConnection(context, owner, exchange, connectTimeoutMicros).connect(transport, address, chain);
     }
 
-    /** Closes the least recently used idle connection to make room for a new one; false if none is idle. */
+    /**
+     * Closes the least recently used idle connection to any database to make room for a new one; false if none is idle.
+     */
     private boolean evictLeastRecentlyUsed() {
         PooledConnection oldest = hosts.leastRecentlyUsed();
         if (oldest != null) {
@@ -151,7 +166,9 @@
         context.loop().schedule(STALL_CHECK_INTERVAL_MICROS, this::checkStalledResponses);
     }
 
-    /** Maintains the connection count, the idle connections and the lookup by socket. */
+    /**
+     * Maintains the connection count, the idle connections and the lookup by socket as connections change their state.
+     */
     private final class ConnectionOwner implements PooledConnection.Owner {
         @Override
         public void onConnected(Connection<SocketAddress> socket, PooledConnection connection) {
--- a/src/main/java/crankwick/database/EmulatedResponse.java
+++ b/src/main/java/crankwick/database/EmulatedResponse.java
@@ -5,9 +5,10 @@
 import crankwick.routing.api.Role;
 
 /**
- * The response of an emulated database to a statement or a health check; {@code position} in microseconds.
+ * The response of an emulated database to a statement or a health check.
  *
  * @param result {@code OK}, {@code INELIGIBLE_REPLICA}, {@code REJECTED_OVERLOADED} or {@code ERROR}
+ * @param position the replication position, in microseconds
  * @param value the row's value if the result is {@code OK} and this is not a health check
  * @param write whether the statement was a write: protocols report ineligible writes and reads differently
  */
@@ -27,7 +28,7 @@
         return role == Role.PRIMARY ? "read-write" : "read-only";
     }
 
-    /** The position in Unix milliseconds: rounded up for a committed write, otherwise down. */
+    /** The replication position in Unix milliseconds: rounded up for a committed write, otherwise down. */
     public long positionMillis() {
         return write && result == AttemptResult.OK
                 ? Math.floorDiv(position + MICROS_PER_MILLI - 1, MICROS_PER_MILLI)
--- a/src/main/java/crankwick/database/EndpointAddress.java
+++ b/src/main/java/crankwick/database/EndpointAddress.java
@@ -3,5 +3,5 @@
 import crankwick.routing.api.Endpoint;
 import java.net.InetSocketAddress;
 
-/** A database of the endpoint list, with the address at which this proxy reaches it. */
+/** An entry of the endpoint list, with the address at which this proxy reaches the database. */
 public record EndpointAddress(Endpoint endpoint, InetSocketAddress address) {}
--- a/src/main/java/crankwick/database/Exchange.java
+++ b/src/main/java/crankwick/database/Exchange.java
@@ -20,19 +20,28 @@
         startedAtMicros = clock.now();
     }
 
-    /** Creates the command; called on the selector thread just before the command is written. */
+    /**
+     * Creates the command; called on the selector thread just before {@link #sendDecision}, after which the command may
+     * remain unwritten.
+     */
     abstract DatabaseCommand command();
 
     /** True if the client's further input, such as a cancel, must be read before the command is sent. */
     abstract boolean requiresClientRecheck();
 
-    /** Whether the first byte may be written; called on the selector thread that writes it. */
+    /** Whether the first byte of the command may be written; called on the selector thread that writes it. */
     abstract SendDecision sendDecision();
 
-    /** The command has been written completely. */
+    /**
+     * Called on the event loop when the command has been written completely; not called if the exchange has ended by
+     * then.
+     */
     abstract void onWritten();
 
-    /** The exchange has ended; {@code response} is null if there is none. */
+    /**
+     * Called when the exchange ends, at most once; {@code response} is null if the database sent none. The duration
+     * counts from the creation of the exchange.
+     */
     abstract void onEnded(AttemptResult result, long durationMicros, DatabaseMessage.Response response);
 
     final String endpointId() {
@@ -56,14 +65,14 @@
         }
     }
 
-    /** Ends the exchange unless writing its command has begun; the connection stays open. */
+    /** Ends the exchange unless writing its command has begun; the connection stays open in either case. */
     final void cancelQueued(AttemptResult result) {
         if (isAssigned()) {
             connection.cancelQueued(result);
         }
     }
 
-    /** Ends the exchange in any state; closes its connection if writing the command has begun. */
+    /** Ends the exchange, whether or not writing its command has begun; if it has, closes the connection. */
     final void abort(AttemptResult result) {
         if (isAssigned() && !connection.cancelQueued(result)) {
             connection.discard(result);
--- a/src/main/java/crankwick/database/Host.java
+++ b/src/main/java/crankwick/database/Host.java
@@ -12,19 +12,24 @@
 final class Host {
     private static final long NOT_REMOVED = Long.MAX_VALUE;
 
-    /** Connections without an exchange, least recently used first. */
+    /** Idle connections to the database, least recently used first. */
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
-    /** Null before the endpoint list names the host, and after {@link #unlist}. */
+    /** The host's entry in the endpoint list; null before the list names the host, and after {@link #unlist}. */
     private EndpointAddress listed;
 
     private long removedAtMicros = NOT_REMOVED;
 
-    /** The database's address; null if the host is not listed. */
+    /**
+     * The database's address; null if the host is not listed. A removed host keeps its address until {@link #unlist}.
+     */
     SocketAddress address() {
         return listed == null ? null : listed.address();
     }
 
-    /** Applies an entry of the endpoint list; closes idle connections if the host is removed, restarted or moved. */
+    /**
+     * Applies an entry of the endpoint list. Closes idle connections if the host is removed, or if its process start or
+     * its address has changed.
+     */
     void update(EndpointAddress entry, long nowMicros) {
         EndpointAddress known = listed;
         boolean removed = entry.endpoint().status() == EndpointStatus.REMOVED;
@@ -42,7 +47,10 @@
         }
     }
 
-    /** Records that the endpoint list no longer names the host; repeated calls keep the first time. */
+    /**
+     * Records the time of the removal of the host from the endpoint list; keeps the first time if it is already
+     * removed.
+     */
     void markRemoved(long nowMicros) {
         if (listed != null && removedAtMicros == NOT_REMOVED) {
             removedAtMicros = nowMicros;
@@ -53,7 +61,7 @@
         return removedAtMicros < micros;
     }
 
-    /** Clears the address and the removal time. */
+    /** Clears the list entry, and with it the address, and the removal time. */
     void unlist() {
         listed = null;
         removedAtMicros = NOT_REMOVED;
@@ -72,7 +80,10 @@
         idle.remove(connection);
     }
 
-    /** Removes and returns the most recently used connection idle since that time or earlier; null if none. */
+    /**
+     * Removes and returns the most recently used of the connections that became idle at {@code idleSinceMicros} or
+     * earlier; null if there is none.
+     */
     PooledConnection takeMostRecentlyUsed(long idleSinceMicros) {
         Iterator<PooledConnection> mostRecentFirst = idle.descendingIterator();
         while (mostRecentFirst.hasNext()) {
@@ -85,12 +96,12 @@
         return null;
     }
 
-    /** Removes and returns the least recently used connection; null if there is none. */
+    /** Removes and returns the least recently used idle connection; null if there is none. */
     PooledConnection takeLeastRecentlyUsed() {
         return idle.pollFirst();
     }
 
-    /** Returns the least recently used connection without removing it; null if there is none. */
+    /** Returns the least recently used idle connection without removing it; null if there is none. */
     PooledConnection leastRecentlyUsed() {
         return idle.peekFirst();
     }
--- a/src/main/java/crankwick/database/HostRegistry.java
+++ b/src/main/java/crankwick/database/HostRegistry.java
@@ -8,12 +8,15 @@
 
 /** The hosts of a pool by endpoint id. Confined to the event loop. */
 final class HostRegistry {
-    /** How long a removed host is retained: after that, no attempt or health check refers to it. */
+    /**
+     * How long a host is retained after its removal from the endpoint list; no attempt or health check refers to it any
+     * more after that time.
+     */
     private static final long REMOVED_HOST_RETENTION_MICROS = 60_000_000;
 
     private final Map<String, Host> hosts = new HashMap<>();
 
-    /** The endpoint's host; null if there is none. */
+    /** The host of an endpoint; null if the pool has none. */
     Host find(String endpointId) {
         return hosts.get(endpointId);
     }
@@ -51,7 +54,10 @@
         return oldest;
     }
 
-    /** Closes connections idle for longer than {@code maxIdleMicros} and drops hosts past their retention. */
+    /**
+     * Closes connections that have been idle for longer than {@code maxIdleMicros}. Clears removed hosts past their
+     * retention, and drops hosts that are not listed and have no idle connections.
+     */
     void reap(long nowMicros, long maxIdleMicros) {
         for (Iterator<Host> all = hosts.values().iterator(); all.hasNext(); ) {
             Host host = all.next();
--- a/src/main/java/crankwick/database/PoolCounters.java
+++ b/src/main/java/crankwick/database/PoolCounters.java
@@ -24,12 +24,15 @@
         connectTimeouts.incrementAndGet();
     }
 
-    /** A command moved to another connection because its connection closed before the first byte was written. */
+    /**
+     * An unsent exchange moved to another connection because its connection closed or received invalid or unsolicited
+     * input.
+     */
     void countReassigned() {
         reassigned.incrementAndGet();
     }
 
-    /** A command was not written, for the given reason. */
+    /** A command was not written to a database, for the given reason. */
     void countNotSent(SendDecision reason) {
         notSent[reason.ordinal()].incrementAndGet();
     }
--- a/src/main/java/crankwick/database/PooledConnection.java
+++ b/src/main/java/crankwick/database/PooledConnection.java
@@ -23,9 +23,9 @@
  */
 final class PooledConnection {
     private static final Logger LOG = LoggerFactory.getLogger(PooledConnection.class);
-    /** Time limit for completing a response that has begun: databases send each response at once. */
+    /** Time limit for completing a response of which a part has been received: databases send each response at once. */
     private static final long RESPONSE_STALL_TIMEOUT_MICROS = 250_000;
-    /** A reused connection that closes this soon after a command started had already been closed by the database. */
+    /** A reused connection that closes this soon after its exchange started had already been closed by the database. */
     private static final long STALE_CONNECTION_WINDOW_MICROS = 5_000;
 
     /** Callbacks from a connection to its pool. */
@@ -54,7 +54,11 @@
     private boolean greeted;
 
     private boolean discarded;
-    /** Set once: by the selector thread that writes the exchange's command or by the event loop that ends it. */
+    /**
+     * Whether it is decided if the current exchange is sent on this connection. Set to true once, by the selector
+     * thread that writes the command or by the event loop that ends or moves the exchange; null before the first
+     * exchange starts.
+     */
     private AtomicBoolean sendClaim;
     /** The last byte of the exchange's command has been written; set by the thread that wrote it. */
     private volatile boolean written;
@@ -62,13 +66,13 @@
     /** When the connection last became idle; 0 if it never has. */
     private long idleSinceMicros;
 
-    /** Whether the connection had been idle before its current exchange. */
+    /** Whether the connection had ever been idle before its current exchange was started. */
     private boolean reused;
 
     /** When the current exchange was started on this connection. */
     private long startedAtMicros;
 
-    /** Creates a connection whose first exchange starts after the greeting; {@link #connect} must follow. */
+    /** Creates a connection whose first exchange starts after the greeting; {@link #connect} must be called next. */
     PooledConnection(PoolContext context, Owner owner, Exchange exchange, long connectTimeoutMicros) {
         this.context = context;
         this.owner = owner;
@@ -94,7 +98,7 @@
         return exchange == candidate;
     }
 
-    /** Records that the connection becomes idle now. */
+    /** Records the current time as the time at which the connection became idle. */
     void markIdle() {
         idleSinceMicros = context.clock().now();
     }
@@ -126,8 +130,8 @@
     }
 
     /**
-     * Writes the command on the selector thread, which also reads the socket: only this thread can be sure that no
-     * unsolicited bytes have arrived and that a connection discarded earlier has been closed.
+     * Assigns an exchange and writes its command on the selector thread, which also reads the socket: only this thread
+     * can be sure that no unsolicited bytes have arrived and that a connection discarded earlier has been closed.
      */
     void start(Exchange next) {
         assign(next);
@@ -166,13 +170,16 @@
         next.assignTo(this);
     }
 
-    /** The only place that decides whether a command's first byte is written; runs on the selector thread. */
+    /**
+     * Writes the command if the exchange has neither ended nor moved, the connection is open without unread input, and
+     * {@link Exchange#sendDecision} allows it. Runs on the selector thread; no other place begins to write a command.
+     */
     private void sendUnlessCancelled(
             Exchange next,
             AtomicBoolean claim,
             CompletionHandler<WriteResult<DatabaseCommand, SocketAddress>> writtenHandler) {
         if (claim.get()) {
-            // The exchange has ended: the connection may already serve another exchange and read its response.
+            // The exchange has ended or moved: the connection may already serve another one and read its response.
             return;
         }
         if (!Transport.isOpenWithoutInput(socket)) {
@@ -243,7 +250,10 @@
         }
     }
 
-    /** Fails a sent attempt, whose statement may have run; an unsent exchange moves to another connection. */
+    /**
+     * Closes the connection after invalid input. A sent exchange fails with RESET, as its statement may have run; an
+     * unsent one moves to another connection or, during the handshake, fails as CONNECTION_LOST_BEFORE_SEND.
+     */
     private void onProtocolError(String fault) {
         LOG.warn("database {}: invalid response: {}; closing the connection", endpointId, fault);
         if (!reassignUnsent()) {
@@ -251,7 +261,7 @@
         }
     }
 
-    /** Closes the connection if a response that has begun is not completed in time. */
+    /** Closes the connection if a partly received response is not completed in time. */
     void checkStalledResponse() {
         if (!discarded && context.codec().isStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS)) {
             context.codec().runIfStillStalled(socket, RESPONSE_STALL_TIMEOUT_MICROS, () -> context.loop()
@@ -279,7 +289,10 @@
         return stale ? AttemptResult.STALE_CONNECTION : AttemptResult.RESET;
     }
 
-    /** If the exchange is unsent, closes the connection, moves the exchange to another one and returns true. */
+    /**
+     * If the handshake is complete and the exchange is unsent, closes the connection, moves the exchange to another one
+     * and returns true.
+     */
     private boolean reassignUnsent() {
         Exchange unsent = exchange;
         if (discarded || unsent == null || !greeted || !sendClaim.compareAndSet(false, true)) {
@@ -300,8 +313,8 @@
     }
 
     /**
-     * Ends the exchange without closing the connection, which returns to the pool as soon as it is ready. Returns
-     * false and changes nothing if writing the command has begun.
+     * Ends the exchange without closing the connection, which returns to the pool: at once, or when its handshake is
+     * complete. Returns false and changes nothing if writing the command has begun.
      */
     boolean cancelQueued(AttemptResult result) {
         if (greeted && !sendClaim.compareAndSet(false, true)) {
@@ -362,7 +375,7 @@
         }
     }
 
-    /** Records that a command has been written. */
+    /** Records that a command has been written completely. */
     private static final class CommandWrittenHandler
             extends EmptyCompletionHandler<WriteResult<DatabaseCommand, SocketAddress>> {
         private final PooledConnection connection;
--- a/src/main/java/crankwick/database/SendDecision.java
+++ b/src/main/java/crankwick/database/SendDecision.java
@@ -3,8 +3,11 @@
 /** Whether the first byte of a command may be written to a database and, if not, the reason. */
 enum SendDecision {
     SEND,
-    /** The client has closed its connection or cancelled the command. */
+    /** The client connection has closed, by either side, or the client has cancelled the command. */
     ABANDONED,
-    /** The request's deadline or the databases' deduplication window has passed. */
+    /**
+     * The client has stopped waiting for the request, or the key window has ended in which databases discard a repeated
+     * attempt.
+     */
     EXPIRED
 }
--- a/src/main/java/crankwick/discovery/Discovery.java
+++ b/src/main/java/crankwick/discovery/Discovery.java
@@ -5,15 +5,18 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** A source of the endpoint list: delivers each {@link ListUpdate} on the event loop between start and close. */
+/** A source of the endpoint list: delivers each {@link ListUpdate} to its listener, on the event loop. */
 public interface Discovery {
-    /** Starts watching; failures are retried indefinitely. */
+    /** Starts watching the endpoint list; failures are retried indefinitely. */
     void start();
 
-    /** Reads its configuration again and applies it; an unreadable configuration changes nothing. */
+    /**
+     * Reads where the endpoint list comes from again and switches to it; if the configuration cannot be read, nothing
+     * changes.
+     */
     void reload();
 
-    /** Stops watching. */
+    /** Stops watching the endpoint list. */
     void close();
 
     /** An entry of the list, with the address at which this proxy reaches the database. */
--- a/src/main/java/crankwick/discovery/DiscoveryCall.java
+++ b/src/main/java/crankwick/discovery/DiscoveryCall.java
@@ -24,7 +24,10 @@
         /** The response is complete; the call has ended. */
         void onResponse(DiscoveryCall call, String body);
 
-        /** The call failed without a response. */
+        /**
+         * The call has failed, for instance to connect, or with another HTTP status than 200. The connection stays open
+         * until the listener calls {@link #end}.
+         */
         void onFailure(DiscoveryCall call, String reason);
     }
 
@@ -94,12 +97,15 @@
         established.write(request.build(), new RequestWritten());
     }
 
-    /** Reports a failure; may be called from any thread. */
+    /** Reports a failure to the listener on the event loop; may be called from any thread. */
     void fail(String reason) {
         loop.execute(() -> listener.onFailure(this, reason));
     }
 
-    /** Reports the response; may be called from any thread. */
+    /**
+     * Ends the call and reports its response to the listener on the event loop, unless the call has already ended; may
+     * be called from any thread.
+     */
     void respond(String body) {
         loop.execute(() -> {
             if (!ended) {
--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -44,14 +44,14 @@
     private final EndpointList endpointList;
     private DnsZone zone;
     private String lastText = "";
-    /** The last read failure; a repeated failure is not logged again. */
+    /** The failure of the last read, or empty; the same failure of the next read is not logged again. */
     private String lastFault = "";
 
     private boolean watching;
 
     /**
-     * Starts from the list {@code known}; {@code zones} has the zone names in the order of the settings. The file is
-     * read again every {@code rereadInterval} microseconds.
+     * Starts from the list {@code known}; {@code zones} has the zone names by zone index. The file is read again every
+     * {@code rereadInterval} microseconds.
      */
     public DnsSdZoneFile(
             DnsZone zone,
@@ -102,7 +102,10 @@
         }
     }
 
-    /** Applies the file if it changed; a partially written or malformed file leaves the list unchanged. */
+    /**
+     * Applies the file as a full list if its text has changed. A file that cannot be read or parsed leaves the endpoint
+     * list unchanged; an instance with missing or invalid records keeps its last known state.
+     */
     private void read() {
         try {
             String text = Files.readString(zone.file());
@@ -131,7 +134,7 @@
         }
     }
 
-    /** Reads the entries of a zone file; an entry with missing or invalid records is marked as unreadable. */
+    /** Reads the entries of a zone file; an instance with missing or invalid records becomes an unreadable entry. */
     public static List<EndpointList.Entry> parse(DnsZone zone, List<String> zones) throws IOException {
         List<Name> instances = new ArrayList<>();
         Map<Name, SRVRecord> services = new HashMap<>();
--- a/src/main/java/crankwick/discovery/EndpointList.java
+++ b/src/main/java/crankwick/discovery/EndpointList.java
@@ -12,9 +12,10 @@
 import java.util.Map;
 
 /**
- * Converts the entries of a list, some of which may be unreadable, into updates. Remembers the last readable state of
- * each endpoint, which replaces an unreadable entry; the entry can only change its status to draining or removed.
- * Memory is bounded by the size of the list. Not thread-safe.
+ * Converts received lists, of which some entries may be unreadable, into updates. Remembers the last readable state of
+ * each endpoint, which replaces an unreadable entry of the endpoint; if only the status of such an entry can be read,
+ * and it is draining or removed, the update has this status. Memory is bounded by the size of the endpoint list. Not
+ * thread-safe.
  */
 public final class EndpointList {
     /**
@@ -65,7 +66,8 @@
     /**
      * Merges a received list and returns the resulting update; {@code full} if the list claims to be complete. The
      * update is full only if the id of every entry is readable too, since an entry without an id may be any endpoint.
-     * If a list has two entries for an endpoint, a draining entry takes precedence.
+     * An unreadable entry of an unknown endpoint is left out. If a list has two entries for an endpoint, the later one
+     * counts, unless the earlier one is draining.
      */
     public ListUpdate merge(boolean full, List<Entry> entries) {
         Map<String, DiscoveredEndpoint> named = new LinkedHashMap<>();
@@ -94,7 +96,10 @@
                 complete ? EndpointUpdateKind.FULL : EndpointUpdateKind.INCREMENTAL, new ArrayList<>(named.values()));
     }
 
-    /** The endpoint's last known state, with the entry's status if that is draining or removed; null if unknown. */
+    /**
+     * The last known state of an unreadable entry's endpoint, with the entry's status if that is draining or removed;
+     * null if the endpoint is unknown.
+     */
     private DiscoveredEndpoint lastKnownOf(Entry entry) {
         DiscoveredEndpoint discovered = lastKnown.get(entry.endpointId());
         if (discovered == null || entry.status() == null || entry.status() == EndpointStatus.LIVE) {
--- a/src/main/java/crankwick/discovery/EndpointListCodec.java
+++ b/src/main/java/crankwick/discovery/EndpointListCodec.java
@@ -18,7 +18,7 @@
 
     private final List<String> zones;
 
-    /** {@code zones} has the zone names in the order of the settings. */
+    /** {@code zones} has the zone names by zone index. */
     public EndpointListCodec(List<String> zones) {
         this.zones = zones;
     }
@@ -26,7 +26,10 @@
     /** A list's version, whether it claims to be complete, and its entries, some possibly unreadable. */
     public record VersionedList(long version, boolean full, List<EndpointList.Entry> entries) {}
 
-    /** Decodes a list; an entry that cannot be decoded carries the fault. */
+    /**
+     * Decodes a list; an entry that cannot be decoded carries the fault. Throws EndpointListFormatException if the list
+     * itself cannot be decoded.
+     */
     public VersionedList parse(String json) {
         try {
             return parse(JsonParser.parseString(json).getAsJsonObject());
@@ -35,7 +38,7 @@
         }
     }
 
-    /** Decodes a list that is part of a larger document. */
+    /** Decodes a list that is part of a larger JSON document, with the same exceptions. */
     public VersionedList parse(JsonObject root) {
         try {
             List<EndpointList.Entry> entries = new ArrayList<>();
--- a/src/main/java/crankwick/discovery/EndpointWatch.java
+++ b/src/main/java/crankwick/discovery/EndpointWatch.java
@@ -7,37 +7,56 @@
  * response is accepted. Only this class interprets missing responses (docs/discovery.md has the time budget). It takes
  * events with the current time in microseconds and calls {@link Calls}; it has no clock and no sockets.
  *
- * <p>A watch is a sequence of calls, each with a random long-poll timeout. If a response does not arrive soon after
- * that timeout, the call is silent, and a new call is opened at once. The proxy is deemed to know the changes that it
- * missed 6 s after the silence began, or 2 s after the call's long-poll timeout if that is later; from then on it must
- * apply them within the drain grace of the settings.
+ * <p>A watch is a sequence of calls, each with a long-poll timeout. A call is silent if it is not connected within
+ * {@link #CONNECT_TIMEOUT_MICROS}, or its response does not arrive within its long-poll timeout, its time in
+ * discovery's queue and {@link #RESPONSE_TIMEOUT_MICROS}; then a new call is opened at once. The proxy is deemed to
+ * know the changes that it missed 6 s after the silence began, or 2 s after the call's long-poll timeout if that is
+ * later; from then on it must apply them within the drain grace of the settings.
  */
 public final class EndpointWatch {
     /** The version that requests the complete list instead of changes. */
     public static final long FULL_LIST = -1;
 
     private static final long MICROS_PER_MILLI = 1_000;
-    /** Long-poll timeouts are random so that calls that become silent together are not reopened together. */
+    /**
+     * Min long-poll timeout of a call that follows an answered call. The timeout is random up to the maximum, so that
+     * calls that become silent together are not reopened together.
+     */
     static final long MIN_LONG_POLL_TIMEOUT_MICROS = 2_000 * MICROS_PER_MILLI;
 
     static final long MAX_LONG_POLL_TIMEOUT_MICROS = 4_000 * MICROS_PER_MILLI;
-    /** For a reopened watch; short, because its response confirms that the list is current again. */
+    /**
+     * Long-poll timeout of a call after a failed or silent call or a change of address; short, because its response
+     * confirms that the list is current again.
+     */
     static final long REOPEN_LONG_POLL_TIMEOUT_MICROS = 250 * MICROS_PER_MILLI;
-    /** For the first call, which may use up to twice as long: a starting proxy has no time to read lists. */
+    /**
+     * Min long-poll timeout of the first call; the timeout is random up to twice this. It is not short, because a
+     * starting proxy has no time to read lists.
+     */
     static final long INITIAL_LONG_POLL_TIMEOUT_MICROS = 1_000 * MICROS_PER_MILLI;
 
     static final long CONNECT_TIMEOUT_MICROS = 750 * MICROS_PER_MILLI;
-    /** Added to the long-poll timeout for the round trip and event loop delays. */
+    /** Added to a call's long-poll timeout for the round trip and event loop delays; then the call is silent. */
     static final long RESPONSE_TIMEOUT_MICROS = 500 * MICROS_PER_MILLI;
-    /** Max time in discovery's queue for the first call of a watch; doubled after each silent call. */
+    /**
+     * Max time in discovery's queue for a call that does not follow an answered call; doubled after each such call that
+     * is silent.
+     */
     static final long INITIAL_QUEUE_TIMEOUT_MICROS = 2_000 * MICROS_PER_MILLI;
 
     static final long MAX_QUEUE_TIMEOUT_MICROS = 8_000 * MICROS_PER_MILLI;
-    /** Doubled after each failed call. */
+    /**
+     * Max delay of the first retry. The max doubles with each consecutive retry up to {@link #MAX_BACKOFF_MICROS}; the
+     * delay is random, from half of the max.
+     */
     static final long INITIAL_BACKOFF_MICROS = 150 * MICROS_PER_MILLI;
 
     static final long MAX_BACKOFF_MICROS = 600 * MICROS_PER_MILLI;
-    /** Limits retries for an entry that stays unreadable: a fleet's unlimited retries would fill discovery's queue. */
+    /**
+     * After this many consecutive responses of one version with unreadable entries, that version is not requested
+     * again: unlimited retries of a fleet would fill discovery's queue.
+     */
     static final int MAX_PARTIAL_RESPONSES = 4;
     /** Spreads the first calls of proxies that start at the same time. */
     static final long START_JITTER_MICROS = 100 * MICROS_PER_MILLI;
@@ -45,9 +64,9 @@
     private static final int MAX_DOUBLINGS = 2;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Actions of a watch; the implementation performs each one immediately. */
+    /** Actions that a watch requests; the implementation performs each one immediately. */
     public interface Calls {
-        /** Opens a call for changes since a version, or for the {@link #FULL_LIST}. */
+        /** Opens a call for changes since a version, or for the {@link #FULL_LIST}; the timeout is in microseconds. */
         void open(long call, long fromVersion, long longPollTimeout);
 
         /** Ends a call; a later response is ignored. */
@@ -61,12 +80,15 @@
     private final Calls calls;
     private long version;
     private boolean fullListRequired;
-    /** The last response was rejected as older than the list; a second one means that version numbering restarted. */
+    /**
+     * Whether the last response was rejected as older than the list. If the next one is older too, it is accepted:
+     * version numbering has restarted.
+     */
     private boolean olderVersionRejected;
-    /** The version of the last response. */
+    /** The version of the last response, accepted or not. */
     private long lastResponseVersion = FULL_LIST;
 
-    /** The number of consecutive responses with unreadable entries at that version. */
+    /** The number of consecutive responses of {@link #lastResponseVersion} that had unreadable entries. */
     private int partialResponses;
     /** The number of the open call, starting at 1; 0 if none is open. */
     private long openCall;
@@ -74,7 +96,7 @@
     private long callsOpened;
     private long longPollTimeout;
     private long pollStartedAt;
-    /** Whether the open call continues an answered call and so does not wait in discovery's queue. */
+    /** Whether the open or next call follows an answered call and so does not wait in discovery's queue. */
     private boolean resumesWatch;
 
     private long nextTimerAt = NEVER;
@@ -82,7 +104,7 @@
     private int silentCalls;
     private long failingSince = NEVER;
 
-    /** Starts from a list of the given version. */
+    /** Creates a watch that has the list of the given version. */
     public EndpointWatch(long version, long seed, Calls calls) {
         this.version = version;
         this.calls = calls;
@@ -99,17 +121,21 @@
         return nextTimerAt;
     }
 
-    /** The version of the current list. */
+    /**
+     * The version since which changes are requested. A list whose unreadable entries cause a retry does not update it.
+     */
     public long version() {
         return version;
     }
 
-    /** When discovery started failing; {@code Long.MAX_VALUE} while it is not failing. */
+    /**
+     * When discovery started failing or being silent, in microseconds; {@code Long.MAX_VALUE} while it is not failing.
+     */
     public long failingSince() {
         return failingSince;
     }
 
-    /** A backoff has ended or a call has timed out. */
+    /** Ends the open call, if any, as timed out and opens the next call; does nothing before {@link #nextTimerAt}. */
     public void onTimer(long now) {
         if (now < nextTimerAt) {
             return;
@@ -123,7 +149,7 @@
         openNextCall(now);
     }
 
-    /** A call's connection is established. */
+    /** A call's connection is established: its response is due after the long-poll, queue and response timeouts. */
     public void onConnected(long call, long now) {
         if (call == openCall) {
             long queueTimeout = resumesWatch
@@ -138,10 +164,10 @@
 
     /**
      * A call returned a list that can be parsed; {@code complete} if all its entries are readable. Returns true if the
-     * caller must accept the list: it is not older than the current one, or version numbering has restarted. An
-     * incomplete list is requested again after a backoff, until {@link #MAX_PARTIAL_RESPONSES} consecutive responses
-     * of one version were incomplete. If a response without changes arrives well before the long-poll timeout, the next
-     * call is delayed.
+     * caller must accept the list: it is not older than the current one, or version numbering has restarted. After a
+     * rejected list, the full list is requested after a backoff. An incomplete list is requested again after a backoff,
+     * until {@link #MAX_PARTIAL_RESPONSES} consecutive responses of one version were incomplete. If a response without
+     * changes arrives in the first half of the long-poll timeout, the next call is delayed.
      */
     public boolean onResponse(long call, long responseVersion, boolean complete, long now) {
         if (call != openCall) {
@@ -183,7 +209,7 @@
 
     /**
      * Discovery has moved to another address, where the complete list is requested at once. The open call to the
-     * previous address is detached: a response that it has already sent is still accepted.
+     * previous address is detached: its response is still accepted until the new address has responded.
      */
     public void onServerChanged(long now) {
         if (openCall != 0) {
--- a/src/main/java/crankwick/discovery/HttpEndpointWatch.java
+++ b/src/main/java/crankwick/discovery/HttpEndpointWatch.java
@@ -24,7 +24,10 @@
     private final EndpointWatch watch;
     private InetSocketAddress address;
     private DiscoveryCall currentCall;
-    /** The call still open at the previous address, until the new address responds; or null. */
+    /**
+     * The call to the previous address that is still open until a response of the new address is accepted; null if
+     * there is none.
+     */
     private DiscoveryCall detachedCall;
 
     private EventLoop.Timer timer;
@@ -73,7 +76,10 @@
         scheduleTimer();
     }
 
-    /** Switches to the configured address; the server at the previous address may close its connections. */
+    /**
+     * Switches to the configured address. If the server at the previous address closes the connection of the call that
+     * is still open there, this does not count as a failure of discovery.
+     */
     @Override
     public void reload() {
         InetSocketAddress configured;
@@ -133,7 +139,10 @@
         }
     }
 
-    /** Schedules the watch's next timer; logs when discovery starts failing and when it has recovered. */
+    /**
+     * Schedules the timer that the watch requires next, if any; logs when discovery starts failing and when it has
+     * recovered.
+     */
     private void scheduleTimer() {
         if (timer != null) {
             timer.cancel();
--- a/src/main/java/crankwick/discovery/ResponseAssembler.java
+++ b/src/main/java/crankwick/discovery/ResponseAssembler.java
@@ -9,11 +9,11 @@
 import org.glassfish.grizzly.http.HttpResponsePacket;
 
 /**
- * Assembles the response to a {@link DiscoveryCall}. A response without a length ends when its connection closes, for
- * whatever reason: a truncated list fails to parse.
+ * Assembles the response to a {@link DiscoveryCall}. A response that is neither chunked nor has a length ends when its
+ * connection closes, for whatever reason: if the list was truncated, it fails to parse.
  */
 final class ResponseAssembler extends BaseFilter {
-    /** Limits memory use; an indented list of 1,024 databases takes a seventh of this. */
+    /** The maximum size of a response; an indented list of 1,024 databases takes a seventh of this. */
     private static final int MAX_BODY_BYTES = 2 << 20;
 
     private static final int STATUS_OK = 200;
--- a/src/main/java/crankwick/model/Failover.java
+++ b/src/main/java/crankwick/model/Failover.java
@@ -5,8 +5,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Changes of the leader: failure detection, election, and demotion of a deposed leader. The member that has
- * received the most log entries is elected; ties go to the member with the earliest process start.
+ * Changes of the leader: failure detection, election, handover by a draining leader, and demotion of a deposed leader.
+ * Of the members that are up, not draining and not the latest leader, the one that has received the most log entries is
+ * elected; ties go to the member with the earliest process start.
  */
 final class Failover {
     private static final long ELECTION_RETRY_MICROS = 200_000;
@@ -36,7 +37,10 @@
         this.replication = replication;
     }
 
-    /** A member has crashed or hangs: if it was the leader, its failure is declared after the detection delay. */
+    /**
+     * A member's process has ended or hangs: if the member was the leader, its failure is declared after the detection
+     * delay.
+     */
     void onUnresponsive(Member member) {
         if (!leadership.isLeader(member)) {
             return;
@@ -90,8 +94,8 @@
     }
 
     /**
-     * A deposed leader gives up the primary role. Writes that it has started may have been executed, so they end
-     * with ERROR; queued writes were not executed and are rejected as INELIGIBLE_REPLICA.
+     * Takes the primary role from a deposed leader. Unanswered writes that it has started may have been executed, so
+     * they end with ERROR; queued writes were not executed and are rejected as INELIGIBLE_REPLICA.
      */
     private void demote(Member member) {
         member.setClaimsPrimary(false);
@@ -106,7 +110,7 @@
         }
     }
 
-    /** A member starts draining: if it is the leader, it hands over after the handover delay. */
+    /** A member starts draining: if it is the leader, the group elects a successor after the handover delay. */
     void onDraining(Member member) {
         if (!leadership.isLeader(member)) {
             return;
--- a/src/main/java/crankwick/model/GroupModel.java
+++ b/src/main/java/crankwick/model/GroupModel.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 
 /**
- * One group of replicated databases as a deterministic state machine: an event and the current time in, effects
- * out; the same seed and events give the same effects. The model has no threads, sockets or clock, so that both
- * the simulation and the emulator can host it.
+ * One group of replicated databases as a deterministic state machine: takes an event and the current time, and emits
+ * effects; the same seed and events give the same effects. The model has no threads, sockets or clock, so that both the
+ * simulation and the emulator can host it.
  *
  * <p>The group has a single replication log. A write is acknowledged once another member has received its entry
- * (semi-synchronous replication). When a leader fails, entries that no other member has received are rolled back.
- * Writes that a deposed leader executes before its demotion are never acknowledged.
+ * (semi-synchronous replication). When the failure of a leader is declared, entries that no other member has received
+ * are rolled back. Writes that a deposed leader executes before its demotion are never acknowledged.
  */
 public final class GroupModel {
     private final List<Member> members = new ArrayList<>();
@@ -99,7 +99,7 @@
                 && members.stream().anyMatch(member -> member.isUp() && !leadership.isLeader(member));
     }
 
-    /** Whether a member accepts connections and answers requests. */
+    /** Whether a member's process is up, so that it accepts connections and answers statements and health checks. */
     public boolean isResponsive(int member) {
         return members.get(member).isUp();
     }
@@ -109,7 +109,7 @@
         return members.get(member).refusesConnections();
     }
 
-    /** Whether a member is draining and rejects new statements. */
+    /** Whether a member is draining, so that it rejects new statements. */
     public boolean isDraining(int member) {
         return members.get(member).isDraining();
     }
--- a/src/main/java/crankwick/model/IdempotencyKeys.java
+++ b/src/main/java/crankwick/model/IdempotencyKeys.java
@@ -20,7 +20,7 @@
         return commitTime != null && now - commitTime < ttlMicros ? commitTime : null;
     }
 
-    /** Adds the key of a new entry, and removes expired keys. */
+    /** Adds the key of a new log entry, and removes expired keys. */
     void add(LogEntry entry, long now) {
         committedAt.put(entry.idempotencyKey(), entry.committedAt());
         oldestFirst.add(entry);
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Removes the key of an entry that was rolled back. */
+    /** Removes the key of a log entry that was rolled back. */
     void remove(LogEntry entry) {
         committedAt.remove(entry.idempotencyKey(), entry.committedAt());
         oldestFirst.remove(entry);
--- a/src/main/java/crankwick/model/Leadership.java
+++ b/src/main/java/crankwick/model/Leadership.java
@@ -1,6 +1,9 @@
 package crankwick.model;
 
-/** The group's current leader, and the leadership epoch that invalidates tasks scheduled in an earlier epoch. */
+/**
+ * The group's current leader, and the leadership epoch, which ends with each change of the leadership state: tasks
+ * guarded by an earlier epoch do nothing.
+ */
 final class Leadership {
     /** The index that {@link #leader()} returns if the group has no leader. */
     static final int NO_LEADER = -1;
@@ -38,7 +41,7 @@
         return state == State.LEADER_ACTIVE && member.index() == latestLeader;
     }
 
-    /** Whether a member is the current leader or, if the group has none, was the previous leader. */
+    /** Whether a member is the current leader or, if the group has none, the previous leader. */
     boolean isLatestLeader(Member member) {
         return member.index() == latestLeader;
     }
@@ -59,7 +62,7 @@
         epoch++;
     }
 
-    /** The leader has drained; the caller starts an election immediately. */
+    /** The handover delay of a draining leader has passed; the caller then elects its successor immediately. */
     void beginHandover(long now) {
         state = State.ELECTING;
         lastHeartbeatAt = now;
@@ -86,7 +89,7 @@
         lastHeartbeatAt = now;
     }
 
-    /** Wraps a task so that it does nothing if the epoch has changed by the time it runs. */
+    /** Wraps a task so that it does nothing if the epoch has changed between this call and its run. */
     Runnable guardedByEpoch(Runnable task) {
         long expected = epoch;
         return () -> {
--- a/src/main/java/crankwick/model/Member.java
+++ b/src/main/java/crankwick/model/Member.java
@@ -7,7 +7,7 @@
         UP,
         HUNG,
         DOWN,
-        /** Down after an overload; a restart is ignored. */
+        /** Down after an overload while warming up; a restart is ignored. */
         COLLAPSED
     }
 
@@ -42,7 +42,10 @@
         return warmUp;
     }
 
-    /** Time of the last process start, in microseconds; identifies the process incarnation. */
+    /**
+     * Time of the last process start, in microseconds, which identifies the process incarnation; a large negative value
+     * if the member has not restarted.
+     */
     long startedAt() {
         return warmUp.startedAt();
     }
--- a/src/main/java/crankwick/model/MemberResponder.java
+++ b/src/main/java/crankwick/model/MemberResponder.java
@@ -4,7 +4,10 @@
 import crankwick.routing.api.LoadReport;
 import crankwick.routing.api.Role;
 
-/** Answers statements and health checks at a member, with its role, replication position and load report. */
+/**
+ * Answers statements and health checks at a member; each response has the role, replication position and load report of
+ * the member.
+ */
 final class MemberResponder {
     private final ModelSettings settings;
     private final ModelContext context;
@@ -18,7 +21,10 @@
         this.log = log;
     }
 
-    /** Answers a statement, unless its connection has ended. The position of a committed write is the current time. */
+    /**
+     * Answers a statement, unless its connection has ended. The response to a committed write has the current time as
+     * its position, every other one the position of the member.
+     */
     void answer(Member member, StatementExecution statement, AttemptResult result) {
         member.workload().markAnswered(statement);
         if (!statement.isAbandoned()) {
@@ -38,10 +44,10 @@
     }
 
     /**
-     * The time up to which a member has seen all writes, in microseconds. Leader: the current time. Deposed leader
-     * that still claims the role: the time at which it lost leadership. Replica with unapplied entries: just before
-     * the first of them. Other replicas: the current time, or the last heartbeat if the group has no leader, less
-     * the maximum replication delay.
+     * The time up to which a member has seen all writes, in microseconds. Leader: the current time. Deposed leader that
+     * still claims the role: the time at which it lost leadership. Replica with unapplied entries: just before the
+     * first of them. Other replicas: the current time, or the last heartbeat if the group has no leader, less the
+     * maximum replication delay. The position of a member without leadership is at least the one reported before.
      */
     long position(Member member) {
         ReplicaProgress progress = member.progress();
--- a/src/main/java/crankwick/model/MemberWorkload.java
+++ b/src/main/java/crankwick/model/MemberWorkload.java
@@ -38,7 +38,10 @@
         return Math.min(1, busyCores / (double) cores);
     }
 
-    /** Starts the next queued statement on a free core; returns null if the queue is empty or no core is free. */
+    /**
+     * Removes the next statement from the queue and starts it on a free core; returns null if the queue is empty or no
+     * core is free.
+     */
     StatementExecution startNext() {
         if (busyCores >= cores || queue.isEmpty()) {
             return null;
--- a/src/main/java/crankwick/model/ModelEffect.java
+++ b/src/main/java/crankwick/model/ModelEffect.java
@@ -16,19 +16,25 @@
     record ResponseSent(long exchangeId, int member, AttemptResult result, Role role, long position, LoadReport report)
             implements ModelEffect {}
 
-    /** The connection of an exchange fails; {@code refused} if the member did not accept it. */
+    /**
+     * The connection of an exchange fails; {@code refused} if it failed because the process of the member was down when
+     * the exchange arrived.
+     */
     record ConnectionFailed(long exchangeId, int member, boolean refused) implements ModelEffect {}
 
     /** The write with an idempotency key was appended to the group's log. */
     record WriteAppended(String idempotencyKey) implements ModelEffect {}
 
-    /** The write with an idempotency key was removed from the log because its leader failed before replicating it. */
+    /**
+     * The write with an idempotency key was removed from the log because its leader failed before another member had
+     * received it.
+     */
     record WriteRolledBack(String idempotencyKey) implements ModelEffect {}
 
     /** The group accepts no new writes: its leader is unresponsive, or draining if {@code planned}. */
     record LeaderLost(int previousLeader, boolean planned) implements ModelEffect {}
 
-    /** A member is now the leader and accepts writes; it may be the previous leader. */
+    /** A member is now the leader and accepts writes; it may be the previous leader, which resumes its role. */
     record LeaderElected(int member) implements ModelEffect {}
 
     /** A member collapsed under overload while warming up, and stays down. */
--- a/src/main/java/crankwick/model/ModelEvent.java
+++ b/src/main/java/crankwick/model/ModelEvent.java
@@ -32,9 +32,15 @@
             CRASH,
             /** The process stops answering; its connections stay open. */
             HANG,
-            /** The member rejects new statements; a leader hands over. */
+            /**
+             * The member rejects new statements; if it is the leader, another member is elected after the handover
+             * delay.
+             */
             DRAIN,
-            /** A process that is down or has drained starts again and warms up; a hung process resumes. */
+            /**
+             * A process that is down or draining without being the latest leader starts again and warms up; a hung
+             * process resumes. Ignored if the member has collapsed.
+             */
             RESTART
         }
     }
--- a/src/main/java/crankwick/model/ModelSettings.java
+++ b/src/main/java/crankwick/model/ModelSettings.java
@@ -18,7 +18,8 @@
  * @param demotionDelay how long a deposed primary claims the primary role after it restarts or resumes
  * @param initialCapacity fraction of the full capacity at process start; grows linearly over {@code warmUpMicros}
  * @param warmUpMicros time from process start until full capacity
- * @param overloadMultiple a member that is warming up collapses above this multiple of its current capacity
+ * @param overloadMultiple a member that is warming up collapses if the work that it received in the overload window
+ *     exceeds this multiple of the work that its current capacity can execute in the window
  * @param overloadWindowMicros the sliding window over which received work is summed for the overload check
  */
 public record ModelSettings(
--- a/src/main/java/crankwick/model/ProcessLifecycle.java
+++ b/src/main/java/crankwick/model/ProcessLifecycle.java
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Stops a member that was overloaded while warming up; a restart of the member is ignored. */
+    /** Stops a member that was overloaded while warming up; later restarts of the member are ignored. */
     void collapse(Member member) {
         stop(member, ProcessState.COLLAPSED);
         context.emit(new ModelEffect.MemberCollapsed(member.index()));
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Starts a process that is down or has drained; resumes a hung process. */
+    /** Starts a process that is down, or draining without being the latest leader; resumes a hung process. */
     private void restart(Member member) {
         if (member.state() == ProcessState.COLLAPSED) {
             return;
--- a/src/main/java/crankwick/model/ReplicaProgress.java
+++ b/src/main/java/crankwick/model/ReplicaProgress.java
@@ -24,13 +24,16 @@
         return applied;
     }
 
-    /** Returns the arrival time of an entry that is sent now; entries arrive in the order in which they were sent. */
+    /**
+     * Returns the arrival time of an entry that is sent now: {@code earliest}, or the arrival time of the entry sent
+     * before if that is later, as entries arrive in the order in which they were sent.
+     */
     long scheduleArrival(long earliest) {
         lastArrivalAt = Math.max(lastArrivalAt, earliest);
         return lastArrivalAt;
     }
 
-    /** Receives an entry; returns the time at which the apply thread has applied it. */
+    /** Marks an entry as received; returns the time at which the apply thread will have applied it. */
     long receive(long entry, long now, long applyWork) {
         received = entry + 1;
         lastApplyAt = Math.max(lastApplyAt, now) + applyWork;
@@ -41,12 +44,12 @@
         applied = Math.max(applied, entries);
     }
 
-    /** Marks entries as received, without applying them. */
+    /** Sets the number of received entries, which may decrease; the number of applied ones does not change. */
     void receiveUpTo(long entries) {
         received = entries;
     }
 
-    /** Marks entries as received and applied. */
+    /** Sets the number of received and of applied entries. */
     void catchUpTo(long entries) {
         received = entries;
         applied = entries;
@@ -58,7 +61,7 @@
         applied = Math.max(applied, entries);
     }
 
-    /** Limits the applied entries to those that remain after a rollback. */
+    /** Limits the number of applied entries to those that remain after a rollback. */
     void rollBackTo(long entries) {
         applied = Math.min(applied, entries);
     }
@@ -71,13 +74,15 @@
         return positionAtLeadershipLoss;
     }
 
-    /** Reports the current time as the position; only the leader does so. */
+    /** Records the current time as the reported position and returns it; only for the leader. */
     long reportNow(long now) {
         reportedPosition = now;
         return reportedPosition;
     }
 
-    /** Reports a position that never decreases: at least the one reported before. */
+    /**
+     * Records the given position, or the one reported before if that is later, as the reported position and returns it.
+     */
     long report(long position) {
         reportedPosition = Math.max(reportedPosition, position);
         return reportedPosition;
--- a/src/main/java/crankwick/model/Replication.java
+++ b/src/main/java/crankwick/model/Replication.java
@@ -18,7 +18,7 @@
     private final ReplicationLog log;
     private final MemberResponder responder;
     private final IdempotencyKeys keys;
-    /** Writes whose entry no other member has received yet, by log index. */
+    /** Unanswered writes whose entry no other member has received yet, by log index. */
     private final Map<Long, List<StatementExecution>> unacknowledged = new HashMap<>();
 
     Replication(
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Appends a write to the log, unless its idempotency key is already there, and acknowledges the write once the
-     * entry is replicated.
+     * Appends a write to the log, unless its idempotency key is stored and unexpired. Acknowledges the write once
+     * another member has received the entry with its key, or at once if that entry has been trimmed.
      */
     void commit(Member leader, StatementExecution statement) {
         String key = statement.request().idempotencyKey();
@@ -99,7 +99,9 @@
         }
     }
 
-    /** Sends replicas the entries that they have not received, after the leader has resumed its role. */
+    /**
+     * Sends the replicas that are up the entries that they have not received, after the leader has resumed its role.
+     */
     void resendUnreceived(Member leader) {
         for (Member other : members) {
             if (other != leader && other.isUp()) {
@@ -110,7 +112,10 @@
         }
     }
 
-    /** Replicates the complete log from a drained leader to all members that are up; acknowledges pending writes. */
+    /**
+     * Marks the complete log as received by all members that are up, before a draining leader hands over; acknowledges
+     * pending writes.
+     */
     void completeForHandover(Member leader) {
         for (Member member : members) {
             if (member.isUp()) {
@@ -124,7 +129,10 @@
         unacknowledged.clear();
     }
 
-    /** Rolls back entries that only the failed leader has; members that are up receive all remaining entries. */
+    /**
+     * Rolls back entries that only the failed leader has; marks all remaining entries as received by the members that
+     * are up.
+     */
     void rollBackUnreplicated(Member failedLeader) {
         long end = log.begin();
         for (Member member : members) {
--- a/src/main/java/crankwick/model/ReplicationLog.java
+++ b/src/main/java/crankwick/model/ReplicationLog.java
@@ -7,7 +7,7 @@
 final class ReplicationLog {
     /** Returned by {@link #find} if there is no matching entry. */
     static final long NO_ENTRY = -1;
-    /** Number of entries removed by one trim, and minimum number retained. */
+    /** Number of entries removed by one trim, and minimum number that are left after it. */
     private static final int TRIM_ENTRIES = 4_096;
 
     private final List<LogEntry> entries = new ArrayList<>();
@@ -24,7 +24,7 @@
         return trimmedEntries + entries.size();
     }
 
-    /** The index of the oldest retained entry. */
+    /** The index of the oldest retained entry; equal to {@link #end} if the log is empty. */
     long begin() {
         return trimmedEntries;
     }
--- a/src/main/java/crankwick/model/StatementExecutor.java
+++ b/src/main/java/crankwick/model/StatementExecutor.java
@@ -35,7 +35,10 @@
         return request.isWrite() ? settings.meanWriteWorkMicros() : settings.meanReadWorkMicros();
     }
 
-    /** Queues a statement. A draining member or a full queue rejects every statement; a replica rejects writes. */
+    /**
+     * Queues a statement or rejects it: a draining member or a full queue rejects every statement, and a member that
+     * does not claim the primary role rejects writes.
+     */
     void submit(Member member, StatementExecution statement) {
         if (member.isDraining() || member.workload().queueLength() >= settings.maxQueuedStatements()) {
             responder.answer(member, statement, AttemptResult.REJECTED_OVERLOADED);
@@ -66,7 +69,10 @@
         context.scheduleAfter(Math.max(MIN_WORK_MICROS, work), () -> onExecuted(member, statement, incarnation));
     }
 
-    /** Completes an execution; if the process hangs, completion is deferred until the process resumes. */
+    /**
+     * Completes an execution. If the process hangs, this is deferred until the process resumes; if the process has
+     * ended, nothing happens.
+     */
     private void onExecuted(Member member, StatementExecution statement, long incarnation) {
         if (member.startedAt() != incarnation || member.refusesConnections()) {
             return;
@@ -100,6 +106,7 @@
         } else if (leadership.isLeader(member)) {
             replication.commit(member, statement);
         }
-        // A deposed primary that still claims its role receives no replica acknowledgements, so it sends no response.
+        // A deposed primary that still claims its role receives no replica acknowledgements, so it sends no response
+        // before its demotion.
     }
 }
--- a/src/main/java/crankwick/model/WarmUp.java
+++ b/src/main/java/crankwick/model/WarmUp.java
@@ -26,13 +26,16 @@
         workInWindow = 0;
     }
 
-    /** Current capacity as a fraction of the full capacity, up to 1. */
+    /** Capacity at the given time as a fraction of the full capacity, up to 1. */
     double capacity(long now) {
         double progress = Math.min(1, Math.max(0, (now - startedAt) / (double) settings.warmUpMicros()));
         return settings.initialCapacity() + (1 - settings.initialCapacity()) * progress;
     }
 
-    /** Records work sent to a member that is warming up; true if the window's work exceeds the overload limit. */
+    /**
+     * Records the mean work of a statement that a member receives while it is warming up; true if the work in the
+     * sliding window exceeds the overload limit. Always false after the warm-up.
+     */
     boolean recordWorkAndCheckOverload(double work, long now) {
         if (capacity(now) >= 1) {
             return false;
--- a/src/main/java/crankwick/runtime/EffectRunner.java
+++ b/src/main/java/crankwick/runtime/EffectRunner.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Passes events to the broker and executes its effects in order. Confined to the event loop. */
+/** Passes events to the broker and executes the effects that it returns, in order. Confined to the event loop. */
 public final class EffectRunner implements BrokerEventSink {
     private static final Logger LOG = LoggerFactory.getLogger(EffectRunner.class);
 
@@ -41,7 +41,10 @@
         databases = databasePool;
     }
 
-    /** Reduces an event. Events published by an effect are queued until the current event's effects are done. */
+    /**
+     * Passes an event to the broker and executes the resulting effects. Events published by an effect are queued until
+     * all effects of the current event are executed.
+     */
     @Override
     public void publish(BrokerEvent event) {
         events.add(event);
@@ -78,7 +81,10 @@
         }
     }
 
-    /** Applies an endpoint list update, to the pool first: the broker must not name a database unknown to it. */
+    /**
+     * Applies an endpoint list update to the pool first and then to the broker, since the broker must not name a
+     * database unknown to the pool.
+     */
     public void updateEndpoints(Discovery.ListUpdate update) {
         List<EndpointAddress> addresses =
                 new ArrayList<>(update.discoveredEndpoints().size());
--- a/src/main/java/crankwick/runtime/ForwardedCommand.java
+++ b/src/main/java/crankwick/runtime/ForwardedCommand.java
@@ -4,7 +4,7 @@
 import crankwick.database.CommandSource;
 import crankwick.statement.Statement;
 
-/** Adapts a client's command to the source of a database attempt. */
+/** Adapts a client's command to the {@link CommandSource} from which the pool sends a database attempt. */
 final class ForwardedCommand implements CommandSource {
     private final ClientCommand command;
 
--- a/src/main/java/crankwick/settings/SettingsCodec.java
+++ b/src/main/java/crankwick/settings/SettingsCodec.java
@@ -43,7 +43,10 @@
     private final long timeOriginMicros;
     private final List<String> reportFields;
 
-    /** Parses the settings; throws IllegalArgumentException with the path of the invalid setting. */
+    /**
+     * Parses the settings; throws IllegalArgumentException with the path of a missing or invalid setting. The settings
+     * that only the proxy process uses are checked by their accessors.
+     */
     public SettingsCodec(String json) {
         root = SettingsObject.parse(json);
         SettingsObject family = root.object("family-info");
@@ -80,7 +83,7 @@
         return timeOriginMicros;
     }
 
-    /** The field names of a load report, in the order of its values. */
+    /** The field names of a load report, in the order of its values; empty if the settings do not name them. */
     public List<String> reportFields() {
         return reportFields;
     }
@@ -101,8 +104,8 @@
     }
 
     /**
-     * How long a connection may be idle before a database closes it, in microseconds; used by the proxy process, not
-     * by the simulator.
+     * How long a database lets a connection be idle before it closes the connection, in microseconds; used by the proxy
+     * process, not by the simulator.
      */
     public long connectionIdleTimeout() {
         return root.object("bounds").micros("conn-idle-ms");
--- a/src/main/java/crankwick/settings/SettingsObject.java
+++ b/src/main/java/crankwick/settings/SettingsObject.java
@@ -14,13 +14,13 @@
  * missing or invalid setting.
  */
 final class SettingsObject {
-    /** Decimal places by which the point moves when milliseconds are converted to microseconds. */
+    /** The number of decimal places by which the point moves right when milliseconds are converted to microseconds. */
     private static final int MILLIS_TO_MICROS_PLACES = 3;
 
     private final JsonObject json;
     private final String pathPrefix;
 
-    /** The prefix is empty for the root, and ends with a dot for every other object. */
+    /** The path prefix is empty for the root, and ends with a dot for every other object. */
     private SettingsObject(JsonObject json, String pathPrefix) {
         this.json = json;
         this.pathPrefix = pathPrefix;
@@ -91,12 +91,12 @@
         }
     }
 
-    /** A number, truncated to an integer. */
+    /** A number setting, truncated to an integer. */
     int integer(String key) {
         return (int) number(key);
     }
 
-    /** A duration or time in microseconds; the setting is in milliseconds. */
+    /** A duration or time, converted from milliseconds to microseconds and rounded down. */
     long micros(String key) {
         try {
             return millisToMicros(text(key));
@@ -114,7 +114,7 @@
         }
     }
 
-    /** The constant for a string value of the settings. */
+    /** The constant that {@code constants} has for a string setting; throws if it has none. */
     <T> T choice(Map<String, T> constants, String key) {
         return choice(constants, value(key), pathPrefix + key);
     }
--- a/src/main/java/crankwick/statement/Statement.java
+++ b/src/main/java/crankwick/statement/Statement.java
@@ -7,7 +7,7 @@
  * {@code /* id=..,c=..,d=..,cluster=..[,k=..][,after=..] *}{@code / SELECT ..}.
  *
  * @param requestClassName the name of the request class
- * @param timeoutMillis the client's timeout, in milliseconds
+ * @param timeoutMillis the client's timeout, in milliseconds, reduced to 60,000 if larger
  * @param idempotencyKey the idempotency key, or null
  * @param requiredPositionMillis the minimum replication position, a Unix time in milliseconds, or -1 if absent
  * @param sessionId the first quoted literal after the hints, or null
@@ -30,7 +30,10 @@
     private static final int SESSION_BITS = 53;
     private static final long SESSION_MASK = (1L << SESSION_BITS) - 1;
 
-    /** Parses a statement; throws IllegalArgumentException with the name of the missing or invalid hint. */
+    /**
+     * Parses a statement; throws IllegalArgumentException with the missing or invalid hint, or if there is no leading
+     * comment.
+     */
     public static Statement parse(String text) {
         return new StatementParser(text).parse();
     }
@@ -40,7 +43,10 @@
         return text.substring(0, timeoutStart) + millis + text.substring(timeoutEnd);
     }
 
-    /** A hash of the session id, by which the routing module identifies the session; -1 if there is none. */
+    /**
+     * A hash of the session id, by which the routing module identifies the consistency session; -1 if there is no
+     * session id.
+     */
     public long sessionHash() {
         if (sessionId == null) {
             return -1;
--- a/src/main/java/crankwick/statement/StatementParser.java
+++ b/src/main/java/crankwick/statement/StatementParser.java
@@ -22,7 +22,10 @@
         this.text = text;
     }
 
-    /** Parses the statement; throws IllegalArgumentException with the name of the missing or invalid hint. */
+    /**
+     * Parses the statement; throws IllegalArgumentException with the missing or invalid hint, or if there is no leading
+     * comment.
+     */
     Statement parse() {
         int open = text.indexOf(COMMENT_START);
         int close = text.indexOf(COMMENT_END, open + COMMENT_START.length());
--- a/src/main/java/crankwick/transport/CodecFilter.java
+++ b/src/main/java/crankwick/transport/CodecFilter.java
@@ -24,7 +24,7 @@
 public abstract class CodecFilter extends BaseFilter {
     private static final long NANOS_PER_MICRO = 1_000;
     private static final int MAX_BUFFERED_HEAP_DIVISOR = 8;
-    /** Limits the buffered input of many peers that each send part of a large message. */
+    /** Limits the buffered input of all connections together, as many peers may each send part of a large message. */
     private static final long MAX_BUFFERED_BYTES = Runtime.getRuntime().maxMemory() / MAX_BUFFERED_HEAP_DIVISOR;
 
     private final AtomicLong bufferedBytes = new AtomicLong();
@@ -40,7 +40,10 @@
         private long reservedBytes;
         private boolean inputExpected = true;
         private boolean inputDropped;
-        /** While a message is incomplete: when it began, or when the last complete one was decoded. Otherwise 0. */
+        /**
+         * The {@link System#nanoTime} of the read after which a message became incomplete, or of the last read since
+         * then that also completed a message; 0 while no message is incomplete.
+         */
         private volatile long incompleteSinceNanos;
 
         /**
@@ -52,21 +55,21 @@
         /** Creates the message that reports a protocol error. */
         protected abstract Object protocolError(String fault);
 
-        /** The bytes that the decoder itself buffers of an incomplete message; 0 between messages. */
+        /** The number of bytes of an incomplete message that the decoder itself buffers; 0 between messages. */
         protected abstract int partialBytes();
 
-        /** Passes a message up the filter chain. */
+        /** Adds a message to those that are passed up the filter chain after the current read. */
         protected final void emit(Object message) {
             decoded.add(message);
         }
 
-        /** Passes a message up the filter chain; no input is expected after it until a command is sent. */
+        /** As {@link #emit}; input that follows the message is a protocol error until a command is sent. */
         protected final void emitLast(Object message) {
             decoded.add(message);
             inputExpected = false;
         }
 
-        /** Writes bytes to the peer without the encoder, as negotiation requires. */
+        /** Writes bytes to the peer without encoding them, as the negotiation of a protocol requires. */
         protected final void respond(FilterChainContext context, byte[] bytes) {
             context.write(wrap(bytes));
         }
@@ -93,7 +96,10 @@
             return decoded;
         }
 
-        /** Decodes complete messages and buffers the rest; returns a description of the fault, or null. */
+        /**
+         * Decodes complete messages and buffers the rest of the input; returns a description of the fault, or null if
+         * there is none.
+         */
         private String decodeAll(ByteBuffer in, FilterChainContext context, AtomicLong budget) {
             ByteBuffer input = remainder.hasRemaining() ? append(in) : in;
             int start = input.position();
@@ -175,7 +181,7 @@
     /** Encodes a message. */
     public abstract byte[] encode(Object value);
 
-    /** Prepares for the response to a command that is sent next. Must be called on the selector thread. */
+    /** Allows input in response to a command, which the caller sends next. Must be called on the selector thread. */
     public final void expectResponse(Connection<?> connection, Object command) {
         decoders.peek(connection).onCommand(command);
     }
--- a/src/main/java/crankwick/transport/EventLoop.java
+++ b/src/main/java/crankwick/transport/EventLoop.java
@@ -7,7 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The single thread on which state changes. Tasks run in the order of submission, and timers fire on the same thread.
+ * The single thread on which the components that share this loop change their state. Tasks run in the order of
+ * submission, and timers fire on the same thread.
  *
  * <p>Tasks submitted after {@link #close} are dropped without an error: sockets keep reporting events until the
  * transport is closed too, and no component handles those events any more.
@@ -18,11 +19,16 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
     /** A timer that fires later than this after its due time counts as late. */
     private static final long LAG_LOG_THRESHOLD_NANOS = 30 * NANOS_PER_MILLI;
-    /** Limits the log rate, because logging each late timer would add to the lag. */
+    /**
+     * The minimum time between two log lines about late timers, because logging each late timer would add to the lag.
+     */
     private static final long LAG_LOG_INTERVAL_NANOS = 1_000 * NANOS_PER_MILLI;
 
     private final ScheduledThreadPoolExecutor executor;
-    /** This and {@link #lateTimers} are reset when the lag is logged, at {@link #lagLoggedAtNanos}. */
+    /**
+     * The largest lag of a timer since the last log line; reset together with {@link #lateTimers} when the lag is
+     * logged, at {@link #lagLoggedAtNanos}.
+     */
     private long maxLagNanos;
 
     private int lateTimers;
@@ -45,7 +51,7 @@
         executor.execute(guarded(task));
     }
 
-    /** Runs a task on the loop after {@code delayMicros} microseconds. */
+    /** Runs a task on the loop after {@code delayMicros} microseconds, or at once if that is negative. */
     public Timer schedule(long delayMicros, Runnable task) {
         long dueNanos = System.nanoTime() + delayMicros * NANOS_PER_MICRO;
         var future = executor.schedule(
@@ -75,7 +81,10 @@
         }
     }
 
-    /** Logs exceptions of a task: a failed task must not stop the loop, as other requests still need replies. */
+    /**
+     * Catches and logs the runtime exceptions of a task: a failed task must not stop the loop, as other requests still
+     * need replies.
+     */
     private static Runnable guarded(Runnable task) {
         return () -> {
             try {
--- a/src/main/java/crankwick/transport/Transport.java
+++ b/src/main/java/crankwick/transport/Transport.java
@@ -29,7 +29,9 @@
 /** The process's Grizzly transport: a single selector thread reads, decodes and passes messages on. */
 public final class Transport implements AutoCloseable {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
-    /** Limits the memory for a peer that does not read: writes beyond this limit fail. */
+    /**
+     * Limits the memory for the unwritten data of a connection whose peer does not read: writes beyond this limit fail.
+     */
     private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
 
     private static final int ACCEPT_BACKLOG = 1024;
@@ -83,7 +85,7 @@
         return future;
     }
 
-    /** Runs a task on the thread that reads from a connection, after the work in progress there. */
+    /** Queues a task on the thread that reads from a connection; the task runs after the work in progress there. */
     public static void onSelectorThread(Connection<?> connection, Runnable task) {
         connection.executeInEventThread(IOEvent.WRITE, task);
     }
@@ -97,7 +99,10 @@
         onSelectorThread(connection, () -> onSelectorThread(connection, task));
     }
 
-    /** True if the connection is open and has no unread input. Must be called on the thread that reads from it. */
+    /**
+     * True if the connection is open and has no unread input. Consumes one byte of unread input, so the caller must
+     * close the connection if false. Must be called on the thread that reads from the connection.
+     */
     public static boolean isOpenWithoutInput(Connection<?> connection) {
         try {
             return connection.isOpen() && channel(connection).read(ByteBuffer.allocate(1)) == 0;
@@ -119,7 +124,10 @@
         }
     }
 
-    /** Shuts down output after the data already written to the socket; reading continues. */
+    /**
+     * Shuts down output after the data that has already been written to the socket; reading continues. Terminates the
+     * connection if that fails.
+     */
     public static void shutdownOutput(Connection<?> connection) {
         try {
             channel(connection).shutdownOutput();
