--- a/src/main/java/crankwick/app/StartupWarmup.java
+++ b/src/main/java/crankwick/app/StartupWarmup.java
@@ -106,7 +106,9 @@
     }
 
     /**
-     * Creates the event that ends an attempt: most attempts succeed, a few are reset or reach an ineligible replica.
+     * Creates the event that ends an attempt. The result depends only on the request id:
+     * {@link #RESET_INTERVAL} selects the requests whose attempts are reset, {@link #INELIGIBLE_INTERVAL} those whose
+     * attempts reach an ineligible replica; all other attempts succeed.
      */
     private BrokerEvent attemptEnded(Effect.SendAttempt send) {
         AttemptResult result = send.requestId() % RESET_INTERVAL == 0
--- a/src/main/java/crankwick/broker/ActiveRequest.java
+++ b/src/main/java/crankwick/broker/ActiveRequest.java
@@ -18,19 +18,21 @@
  */
 final class ActiveRequest {
     private enum Phase {
-        /** Waits to be released by the failover coordinator; not passed to the router yet. */
+        /** The request waits to be released by the failover coordinator and has not been passed to the router yet. */
         BUFFERED,
-        /** Passed to the router, which decides on its attempts. */
+        /** The request has been passed to the router, which decides on its attempts. */
         ROUTED,
-        /** Replied to, or abandoned by its client. */
+        /** The request has been replied to, or its client has abandoned it. */
         COMPLETED
     }
 
     private enum AttemptPhase {
         NONE,
-        /** Handed to the database pool; may still be waiting for a connection. */
+        /**
+         * The request's current attempt has been handed to the database pool; it may still be waiting for a connection.
+         */
         QUEUED,
-        /** The last byte of the attempt has been written to the database connection. */
+        /** The last byte of the request's current attempt has been written to the database connection. */
         WRITTEN
     }
 
--- a/src/main/java/crankwick/broker/Reply.java
+++ b/src/main/java/crankwick/broker/Reply.java
@@ -25,17 +25,17 @@
     }
 
     /**
-     * Served: a database's value (null for SQL's NULL), whether the request was a write, and the log position that the
-     * database reported, or NONE.
+     * The request was served: contains the database's value (null for SQL's NULL), whether the request was a write, and
+     * the log position that the database reported, or NONE.
      */
     record Served(byte[] value, boolean write, long position) implements Reply {}
 
-    /** Rejected: the request is safe to retry; {@code retryAfter} is in microseconds, 0 if absent. */
+    /** The request was rejected and is safe to retry; {@code retryAfter} is in microseconds, 0 if absent. */
     record Rejected(Reason reason, long retryAfter) implements Reply {}
 
     /**
-     * Failed: the client must assume that the request may have had an effect, although CLASS_NOT_ALLOWED and ID_IN_USE
-     * are decided before any attempt.
+     * The request failed: the client must assume that it may have had an effect, although CLASS_NOT_ALLOWED and
+     * ID_IN_USE are decided before any attempt.
      */
     record Failed(Reason reason) implements Reply {}
 }
--- a/src/main/java/crankwick/client/AcceptLimiter.java
+++ b/src/main/java/crankwick/client/AcceptLimiter.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * True if no client connection is open. A connection counts from its accept on, before the event loop processes the
-     * accept.
+     * True if no client connection is open. A connection counts as open as soon as the transport has accepted it, even
+     * if the event loop has not processed the accept yet.
      */
     synchronized boolean hasNoConnections() {
         return connections == 0;
--- a/src/main/java/crankwick/client/ClientListener.java
+++ b/src/main/java/crankwick/client/ClientListener.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * True if no client connection is open. A connection counts from its accept on, before the event loop processes the
-     * accept.
+     * True if no client connection is open. A connection counts as open as soon as the transport has accepted it, even
+     * if the event loop has not processed the accept yet.
      */
     public boolean hasNoConnections() {
         return acceptLimiter.hasNoConnections();
--- a/src/main/java/crankwick/client/ClientSession.java
+++ b/src/main/java/crankwick/client/ClientSession.java
@@ -49,11 +49,14 @@
      * do not count.
      */
     boolean hasSentCommand;
-    /** Further messages of the client are ignored; the connection closes after the replies to earlier commands. */
+    /**
+     * Whether the session is closing: further messages of the client are ignored, and the connection closes after the
+     * replies to earlier commands.
+     */
     boolean closing;
     /**
-     * A close of the idle session is waiting for pending input to be read; the session stays open if a message arrives
-     * by then.
+     * Whether a close of the idle session is waiting for pending input to be read; the session stays open if a message
+     * arrives by then.
      */
     boolean closePending;
 
@@ -74,7 +77,9 @@
 
     private int openCommands;
     private long openStatementBytes;
-    /** Reserved bytes of the reply budget, for the values of replies that are not written yet. */
+    /**
+     * The bytes of the reply budget that this session has reserved for the values of replies that are not written yet.
+     */
     private long replyBytes;
 
     private int undeliveredMessages;
--- a/src/main/java/crankwick/client/IdleSweeper.java
+++ b/src/main/java/crankwick/client/IdleSweeper.java
@@ -11,7 +11,8 @@
 final class IdleSweeper {
     private static final long SWEEP_INTERVAL_MICROS = 100_000;
     /**
-     * The idle timeout before the first command; it restarts whenever a reply is written, such as the reply to a login.
+     * The idle timeout of a session before its first command; it restarts whenever a reply is written, such as the
+     * reply to a login.
      */
     private static final long FIRST_COMMAND_TIMEOUT_MICROS = 2_000_000;
 
--- a/src/main/java/crankwick/database/PooledConnection.java
+++ b/src/main/java/crankwick/database/PooledConnection.java
@@ -50,7 +50,7 @@
     private Future<?> connectFuture;
     private Connection<SocketAddress> socket;
     private Exchange exchange;
-    /** Whether the database has completed the handshake. */
+    /** Whether the database has completed the handshake on this connection. */
     private boolean greeted;
 
     private boolean discarded;
@@ -60,7 +60,7 @@
      * exchange starts.
      */
     private AtomicBoolean sendClaim;
-    /** The last byte of the exchange's command has been written; set by the thread that wrote it. */
+    /** Whether the last byte of the current exchange's command has been written; set by the thread that wrote it. */
     private volatile boolean written;
 
     /** When the connection last became idle; 0 if it never has. */
--- a/src/main/java/crankwick/discovery/DnsSdZoneFile.java
+++ b/src/main/java/crankwick/discovery/DnsSdZoneFile.java
@@ -44,7 +44,9 @@
     private final EndpointList endpointList;
     private DnsZone zone;
     private String lastText = "";
-    /** The failure of the last read, or empty; the same failure of the next read is not logged again. */
+    /**
+     * The failure of the last read of the zone file, or empty; the same failure of the next read is not logged again.
+     */
     private String lastFault = "";
 
     private boolean watching;
--- a/src/main/java/crankwick/emulator/EmulatedEndpointList.java
+++ b/src/main/java/crankwick/emulator/EmulatedEndpointList.java
@@ -27,7 +27,7 @@
 
     private final Map<String, EmulatedEndpoint> pending = new LinkedHashMap<>();
     private final String zoneName;
-    /** Null if no zone file is written. */
+    /** The zone file to which the endpoints are written; null if no zone file is written. */
     private final ZoneFile zoneFile;
 
     private final HttpServer server;
--- a/src/main/java/crankwick/failover/AttemptPermit.java
+++ b/src/main/java/crankwick/failover/AttemptPermit.java
@@ -4,10 +4,10 @@
 public enum AttemptPermit {
     GRANTED,
     /**
-     * The key window, in which databases discard repeats of the idempotency key, has ended or ends within the key
-     * margin.
+     * The attempt must not be sent: the request's key window, in which databases discard repeats of the idempotency
+     * key, has ended or ends within the key margin.
      */
     KEY_EXPIRED,
-    /** The key registry is at capacity and cannot record the request's key. */
+    /** The attempt must not be sent: the key registry is at capacity and cannot record the request's key. */
     REGISTRY_FULL
 }
--- a/src/main/java/crankwick/failover/FailoverAdmission.java
+++ b/src/main/java/crankwick/failover/FailoverAdmission.java
@@ -6,11 +6,14 @@
     ADMIT,
     /** The request is buffered until the failover coordinator releases it to the router, rejects it or fails it. */
     BUFFER,
-    /** The request is unlikely to be served in time or exceeds a buffer limit, and a retry of it is safe. */
+    /**
+     * The request is rejected: it is unlikely to be served in time or exceeds a buffer limit, and a retry of it is
+     * safe.
+     */
     REJECT,
     /**
-     * A request with the same key may have executed, and this request cannot be admitted, for example because the key
-     * window has ended.
+     * The request is failed: a request with the same key may have executed, and this request cannot be admitted, for
+     * example because the key window has ended.
      */
     FAIL
 }
--- a/src/main/java/crankwick/failover/KeyRegistry.java
+++ b/src/main/java/crankwick/failover/KeyRegistry.java
@@ -15,8 +15,8 @@
  */
 final class KeyRegistry {
     /**
-     * 8 bytes each for hash, send time and expiry, 4 bytes each for two links and a chain head, 1 byte for the
-     * state.
+     * The memory that one entry of the registry takes: 8 bytes each for hash, send time and expiry, 4 bytes each for
+     * two links and a chain head, 1 byte for the state.
      */
     static final int BYTES_PER_ENTRY = 37;
 
--- a/src/main/java/crankwick/failover/Leadership.java
+++ b/src/main/java/crankwick/failover/Leadership.java
@@ -20,7 +20,7 @@
 public final class Leadership {
     /** The state of a group's leadership; requests are buffered for lack of a leader only while LEADERLESS. */
     public enum Phase {
-        /** No claim to be primary has been accepted yet. */
+        /** No claim of any endpoint to be the primary of the group has been accepted yet. */
         UNKNOWN,
         /** The leader has claimed the primary role or served a write, and there is no newer evidence against it. */
         HEALTHY,
--- a/src/main/java/crankwick/model/Leadership.java
+++ b/src/main/java/crankwick/model/Leadership.java
@@ -10,7 +10,7 @@
 
     private enum State {
         LEADER_ACTIVE,
-        /** The leader is unresponsive but not declared failed yet: it resumes its role if it recovers. */
+        /** The group's leader is unresponsive but not declared failed yet: it resumes its role if it recovers. */
         DETECTING_FAILURE,
         ELECTING
     }
--- a/src/main/java/crankwick/model/Member.java
+++ b/src/main/java/crankwick/model/Member.java
@@ -7,7 +7,7 @@
         UP,
         HUNG,
         DOWN,
-        /** Down after an overload while warming up; a restart is ignored. */
+        /** The member's process is down after an overload while it was warming up; a restart is ignored. */
         COLLAPSED
     }
 
--- a/src/main/java/crankwick/model/ModelEvent.java
+++ b/src/main/java/crankwick/model/ModelEvent.java
@@ -28,9 +28,9 @@
     record FaultInjected(Kind kind, int member) implements ModelEvent {
         /** The kinds of faults, and the restart that ends them. */
         public enum Kind {
-            /** The process ends: its connections fail, and new connections are refused. */
+            /** The member's process ends: its connections fail, and new connections are refused. */
             CRASH,
-            /** The process stops answering; its connections stay open. */
+            /** The member's process stops answering; its connections stay open. */
             HANG,
             /**
              * The member rejects new statements; if it is the leader, another member is elected after the handover
--- a/src/main/java/crankwick/model/StatementExecution.java
+++ b/src/main/java/crankwick/model/StatementExecution.java
@@ -5,7 +5,7 @@
     private enum State {
         QUEUED,
         EXECUTING,
-        /** The connection has ended, so no response is sent; an execution that has started continues. */
+        /** The statement's connection has ended, so no response is sent; an execution that has started continues. */
         ABANDONED
     }
 
--- a/src/main/java/crankwick/routing/ConcurrencyLimit.java
+++ b/src/main/java/crankwick/routing/ConcurrencyLimit.java
@@ -8,11 +8,13 @@
  * may be too strict for a request class that is inherently slow.
  */
 final class ConcurrencyLimit {
-    /** Initial limit, summed over all proxies; a single proxy's initial limit is at least 1. */
+    /**
+     * Initial concurrency limit of an endpoint, summed over all proxies; a single proxy's initial limit is at least 1.
+     */
     static final double INITIAL_FLEET_LIMIT = 18;
     /**
-     * Minimum limit, summed over all proxies; a single proxy's minimum is at most 1. Also the minimum rate of attempts,
-     * summed over all proxies and per second, to an endpoint in slow start.
+     * Minimum concurrency limit of an endpoint, summed over all proxies; a single proxy's minimum is at most 1. Also
+     * the minimum rate of attempts, summed over all proxies and per second, to an endpoint in slow start.
      */
     static final double MIN_FLEET_LIMIT = 3;
 
--- a/src/main/java/crankwick/routing/EndpointGroup.java
+++ b/src/main/java/crankwick/routing/EndpointGroup.java
@@ -11,7 +11,7 @@
 final class EndpointGroup {
     private final long id;
     private final List<EndpointState> endpoints = new ArrayList<>();
-    /** One queue per request class. */
+    /** The queues of pending requests, one for each request class. */
     private final List<ArrayDeque<PendingRequest>> queues = new ArrayList<>();
 
     private final SessionTokenStore sessionTokens = new SessionTokenStore();
--- a/src/main/java/crankwick/routing/FleetActivity.java
+++ b/src/main/java/crankwick/routing/FleetActivity.java
@@ -6,7 +6,7 @@
 
 /** This proxy's rate of attempts to all endpoints, and the mean utilization that warm endpoints report. */
 final class FleetActivity {
-    /** Time constant of the decaying count of attempts. */
+    /** Time constant of the decaying count of this proxy's attempts to all endpoints. */
     static final long SEND_RATE_WINDOW_MICROS = 5 * MICROS_PER_SECOND;
 
     private static final double UTILIZATION_GAIN = 0.05;
--- a/src/main/java/crankwick/routing/HealthStatus.java
+++ b/src/main/java/crankwick/routing/HealthStatus.java
@@ -34,8 +34,8 @@
     private long lastHealthCheckAt = NEVER;
     private boolean healthCheckInFlight;
     /**
-     * Time of the first health check since the last response, moved to an earlier time by a failed connection attempt;
-     * or NONE.
+     * Time of the first health check since the endpoint's last response, moved to an earlier time by a failed
+     * connection attempt; or NONE.
      */
     private long unresponsiveSince = AbsentValue.NONE;
     /** Whether the endpoint has refused a connection since its last response. */
--- a/src/main/java/crankwick/routing/LatencyEstimates.java
+++ b/src/main/java/crankwick/routing/LatencyEstimates.java
@@ -14,7 +14,9 @@
  * multiple (ratio) of typical durations.
  */
 final class LatencyEstimates {
-    /** Ratio of an idle endpoint: its mean duration divided by the typical duration, which is a low quantile. */
+    /**
+     * Latency ratio of an idle endpoint: its mean duration divided by the typical duration, which is a low quantile.
+     */
     static final double BASELINE_LATENCY_RATIO = 1.8;
     /** Observed latencies decay over this time, so that a slow endpoint is eventually selected again. */
     static final long LATENCY_DECAY_MICROS = 2 * MICROS_PER_SECOND;
--- a/src/main/java/crankwick/routing/OutlierDetector.java
+++ b/src/main/java/crankwick/routing/OutlierDetector.java
@@ -19,8 +19,8 @@
 
     private static final double FAILURE_RATE_GAIN = 0.2;
     /**
-     * The ejection time without other recent faults, longer than short pauses of a healthy endpoint; doubled for each
-     * other recent fault or ejection.
+     * The ejection time of an endpoint without other recent faults, longer than short pauses of a healthy endpoint;
+     * doubled for each other recent fault or ejection.
      */
     private static final long INITIAL_EJECTION_MICROS = 400 * MICROS_PER_MILLI;
 
--- a/src/main/java/crankwick/routing/SlowStartBudget.java
+++ b/src/main/java/crankwick/routing/SlowStartBudget.java
@@ -10,7 +10,7 @@
  * of the rules.
  */
 final class SlowStartBudget {
-    /** The fraction of the allowed rate that is used. */
+    /** The fraction of the rate of attempts allowed by the rules that is used for an endpoint in slow start. */
     private static final double SAFETY_FACTOR = 0.65;
 
     private final RoutingSettings settings;
--- a/src/main/java/crankwick/routing/api/RoleVisibility.java
+++ b/src/main/java/crankwick/routing/api/RoleVisibility.java
@@ -2,10 +2,10 @@
 
 /** How the endpoint list reports roles. */
 public enum RoleVisibility {
-    /** The list contains no roles. */
+    /** The endpoint list contains no roles. */
     HIDDEN,
-    /** The list contains the roles as they were when the process started. */
+    /** The endpoint list contains the roles as they were when the process started. */
     AT_START,
-    /** The list follows role changes with a delay. */
+    /** The endpoint list follows role changes with a delay. */
     DELAYED
 }
--- a/src/main/java/crankwick/simulation/AuditTrace.java
+++ b/src/main/java/crankwick/simulation/AuditTrace.java
@@ -12,7 +12,7 @@
  * group.
  */
 final class AuditTrace {
-    /** Stands for the request id in a line that concerns a whole group. */
+    /** Stands for the request id in a trace line that concerns a whole group. */
     static final long GROUP_REQUEST_ID = -1;
 
     private static final int MAX_LINES = 20_000;
--- a/src/main/java/crankwick/simulation/AuditedRequest.java
+++ b/src/main/java/crankwick/simulation/AuditedRequest.java
@@ -8,7 +8,7 @@
         OPEN,
         SERVED,
         NOT_SERVED,
-        /** The proxy process ended before the reply. */
+        /** The proxy process ended before it replied to the request. */
         LOST
     }
 
--- a/src/main/java/crankwick/simulation/DrainSimulation.java
+++ b/src/main/java/crankwick/simulation/DrainSimulation.java
@@ -20,7 +20,8 @@
     private static final long MAX_DELAY_BEFORE_DRAIN_MICROS = 2 * SECONDS;
     private static final long ROUND_MICROS = 12 * SECONDS;
     /**
-     * How long a proxy may still send requests to a draining database after the drain has taken effect for this proxy.
+     * Each proxy must have been notified of a drain by the time that this period has elapsed since the drain took
+     * effect for the proxy; otherwise, the simulation counts a late notification.
      */
     private static final long DRAIN_GRACE_MICROS = 2 * SECONDS;
 
--- a/src/main/java/crankwick/simulation/FailoverSimulation.java
+++ b/src/main/java/crankwick/simulation/FailoverSimulation.java
@@ -24,21 +24,21 @@
      */
     public enum Defect {
         NONE,
-        /** The proxy is configured with a longer key TTL than the databases use. */
+        /** Deliberate defect: the proxy is configured with a longer key TTL than the databases use. */
         RESEND_AFTER_WINDOW,
         /**
-         * When discovery publishes a member as primary, the proxy also receives a health check result with this role,
-         * as if the member had reported the possibly outdated role itself.
+         * Deliberate defect: when discovery publishes a member as primary, the proxy also receives a health check
+         * result with this role, as if the member had reported the possibly outdated role itself.
          */
         LATE_LIST_BELIEVED,
         /**
-         * Once the proxy process has released a buffered request, every attempt is reported to the audit twice,
-         * although it is sent only once.
+         * Deliberate defect: once the proxy process has released a buffered request, every attempt is reported to the
+         * audit twice, although it is sent only once.
          */
         HELD_SENT_TWICE,
         /**
-         * The initial release window of the failover coordinator is so large that it practically does not limit how
-         * many buffered requests are released at once.
+         * Deliberate defect: the initial release window of the failover coordinator is set so large that it practically
+         * does not limit how many buffered requests are released at once.
          */
         RELEASE_WITHOUT_PACE
     }
--- a/src/main/java/crankwick/tds/TdsProtocol.java
+++ b/src/main/java/crankwick/tds/TdsProtocol.java
@@ -9,7 +9,7 @@
 
     static final int IGNORE = 2;
 
-    /** Message types. */
+    /** Types of TDS messages. */
     static final int SQL_BATCH = 0x01;
 
     static final int TABULAR_RESULT = 0x04;
@@ -17,7 +17,7 @@
     static final int LOGIN7 = 0x10;
     static final int PRELOGIN = 0x12;
 
-    /** Token types. */
+    /** Types of the tokens in TDS messages from the server. */
     static final int COLMETADATA = 0x81;
 
     static final int ERROR = 0xAA;
