--- a/src/main/java/crankwick/app/OperatorConfig.java
+++ b/src/main/java/crankwick/app/OperatorConfig.java
@@ -115,7 +115,11 @@
         return new DnsSdZoneFile.DnsZone(records, service);
     }
 
-    /** Returns null if the {@code handover} table is missing: only the router then handles failovers. */
+    /**
+     * Reads the failover coordinator's settings from the {@code handover} table: limits on buffered requests,
+     * idempotency-key memory and expected failover durations. Returns null if the table is missing: no coordinator
+     * is created then, and only the router handles failovers.
+     */
     private static FailoverSettings failoverSettings(ConfigTable root) {
         ConfigTable table = root.optionalTable("handover");
         if (table == null) {
