--- a/src/main/java/crankwick/routing/ReportedLoad.java
+++ b/src/main/java/crankwick/routing/ReportedLoad.java
@@ -6,27 +6,29 @@
 
 import crankwick.routing.api.LoadReport;
 
-/** The load of one endpoint by its last report, which counts the work of all proxies. */
+/** The load of one endpoint according to its last load report, which covers the requests of all proxies. */
 final class ReportedLoad {
     private static final long RECENT_REPORT_MICROS = 300 * MICROS_PER_MILLI;
-    /** The report's influence on the expected latency fades over this time. */
-    private static final long REPORT_MEMORY_MICROS = MICROS_PER_SECOND;
-    /** Requests that an endpoint executes in parallel. */
-    private static final double PARALLEL_REQUESTS = 3;
-    /** Typical durations that each queued request adds to a response. */
-    private static final double LATENCY_PER_QUEUED_REQUEST = 2.5 / PARALLEL_REQUESTS;
+    /** The effect of a report on the expected latency decays linearly to zero over this time. */
+    private static final long REPORT_DECAY_MICROS = MICROS_PER_SECOND;
+    /** Number of requests that an endpoint is assumed to execute in parallel at most. */
+    private static final double ASSUMED_PARALLEL_REQUESTS = 3;
+    /** Latency added by each queued request, in typical durations. */
+    private static final double LATENCY_PER_QUEUED_REQUEST = 2.5 / ASSUMED_PARALLEL_REQUESTS;
 
     private double queueLength;
     private double utilization;
     private long reportedAt = NEVER;
 
-    /** Whether a report tells how busy its endpoint is. */
-    static boolean isKnown(LoadReport report) {
+    /** Returns whether the report includes the queue length, requests in flight or utilization. */
+    static boolean includesLoad(LoadReport report) {
         return !Double.isNaN(queued(report)) || !Double.isNaN(report.utilization());
     }
 
     private static double queued(LoadReport report) {
-        return Double.isNaN(report.queueLength()) ? report.inFlight() - PARALLEL_REQUESTS : report.queueLength();
+        return Double.isNaN(report.queueLength())
+                ? report.inFlight() - ASSUMED_PARALLEL_REQUESTS
+                : report.queueLength();
     }
 
     void update(LoadReport report, long now) {
@@ -44,14 +46,14 @@
         return now - reportedAt <= RECENT_REPORT_MICROS;
     }
 
-    /** Whether a recent report shows no queue and a utilization below the given one. */
+    /** Returns whether a recent report shows an empty queue and a utilization below the maximum. */
     boolean isIdle(double maxUtilization, long now) {
         return isRecent(now) && queueLength == 0 && utilization < maxUtilization;
     }
 
-    /** What the reported load adds to the latency of an idle endpoint, in typical durations. */
+    /** Returns the latency that the reported load adds to that of an idle endpoint, in typical durations. */
     double addedLatency(long now) {
         double added = utilization * utilization * utilization + queueLength * LATENCY_PER_QUEUED_REQUEST;
-        return FadingMean.remainingWeight(reportedAt, REPORT_MEMORY_MICROS, now) * added;
+        return DecayingMean.remainingWeight(reportedAt, REPORT_DECAY_MICROS, now) * added;
     }
 }
--- a/src/main/java/crankwick/routing/ResponseRecency.java
+++ b/src/main/java/crankwick/routing/ResponseRecency.java
@@ -6,13 +6,13 @@
 
 /** Decides which endpoints have responded recently enough to be sent requests without a health check. */
 final class ResponseRecency {
-    private static final long MIN_RECENCY_MICROS = 300 * MICROS_PER_MILLI;
-    /** A response counts as recent for so many mean intervals between responses of an endpoint. */
-    private static final double RESPONSE_INTERVALS = 4;
+    private static final long MIN_RECENCY_WINDOW_MICROS = 300 * MICROS_PER_MILLI;
+    /** The recency window in units of the mean interval between responses of one endpoint. */
+    private static final double RECENCY_RESPONSE_INTERVALS = 4;
 
     private final RoutingLimits limits;
     private final HealthCheckBudget budget;
-    private long recencyMicros;
+    private long recencyWindowMicros;
 
     ResponseRecency(RoutingLimits limits, HealthCheckBudget budget) {
         this.limits = limits;
@@ -20,34 +20,36 @@
     }
 
     /**
-     * Adapts the recency to the rate of attempts, once per event. The more proxies share the work, the longer
-     * each is without responses of healthy endpoints: a short recency would need a health check before nearly
-     * every read. It is bounded by the window in which attempts are counted.
+     * Adapts the recency window to the rate of attempts; called once per event. The more proxies share the load,
+     * the longer a proxy receives no response from a healthy endpoint, so that a short window would require a health
+     * check before almost every read. The window is at most the one over which attempts are counted.
      */
     void update(int endpoints, FleetActivity activity, long now) {
-        long window = FleetActivity.SEND_RATE_WINDOW_MICROS;
-        double span = RESPONSE_INTERVALS * endpoints * window / Math.max(1, activity.recentAttempts(now));
-        recencyMicros = Math.max(MIN_RECENCY_MICROS, (long) Math.min(window, span));
+        long sendRateWindow = FleetActivity.SEND_RATE_WINDOW_MICROS;
+        double recentInterval =
+                RECENCY_RESPONSE_INTERVALS * endpoints * sendRateWindow / Math.max(1, activity.recentAttempts(now));
+        recencyWindowMicros = Math.max(MIN_RECENCY_WINDOW_MICROS, (long) Math.min(sendRateWindow, recentInterval));
     }
 
     /**
-     * Whether the endpoint has responded recently, so that it can be expected to respond now. With no health
-     * check affordable, waiting for one would lose the request for certain.
+     * Returns whether the endpoint has responded recently and can be expected to respond now. If the health check
+     * budget is exhausted, an endpoint without a recent response is accepted unless it is unresponsive, because a
+     * request that waits for a health check would certainly be lost.
      */
     boolean hasRecentResponse(EndpointState endpoint, long now) {
         HealthStatus health = endpoint.health();
         if (!limits.healthChecksAllowed()) {
             return true;
         }
-        boolean pendingTooLong = health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
-        return !pendingTooLong && (health.hasRespondedWithin(recency(endpoint), now) || budget.isExhausted());
+        boolean unresponsive = health.isUnresponsive(HealthStatus.HEALTH_CHECK_TIMEOUT_MICROS, now);
+        return !unresponsive && (health.hasRespondedWithin(recencyWindow(endpoint), now) || budget.isExhausted());
     }
 
-    /** A primary's stays short: a write sent to one that has stopped can't be cancelled. */
-    private long recency(EndpointState endpoint) {
+    /** The window of a primary stays short because a write sent to a stopped primary can't be cancelled. */
+    private long recencyWindow(EndpointState endpoint) {
         if (endpoint != endpoint.group().primary()) {
-            return recencyMicros;
+            return recencyWindowMicros;
         }
-        return (long) Math.min(FleetActivity.SEND_RATE_WINDOW_MICROS, MIN_RECENCY_MICROS * budget.costFactor());
+        return (long) Math.min(FleetActivity.SEND_RATE_WINDOW_MICROS, MIN_RECENCY_WINDOW_MICROS * budget.costFactor());
     }
 }
--- a/src/main/java/crankwick/simulation/FailoverReport.java
+++ b/src/main/java/crankwick/simulation/FailoverReport.java
@@ -38,12 +38,12 @@
         return audit;
     }
 
-    /** The most requests that were buffered at once. */
+    /** The maximum number of requests buffered at once. */
     long maxBuffered() {
         return maxBuffered;
     }
 
-    /** All figures under the names that the command line prints, in its order. */
+    /** Returns all figures by the names, and in the order, of the command line output. */
     public Map<String, Object> figures() {
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("failovers", audit.failovers());
@@ -82,7 +82,7 @@
         figures.put("refused", audit.rejected());
         figures.put("failed", audit.failed());
         figures.put("refused_writes", audit.rejectedWrites());
-        figures.put("mean_wait_of_refused_writes_ms", audit.meanRejectionWaitMillis());
+        figures.put("mean_wait_of_refused_writes_ms", audit.meanRejectionLatencyMillis());
         Map<String, Long> reasons = new TreeMap<>();
         audit.reasons().forEach((reason, count) -> reasons.put(reason.name().toLowerCase(Locale.ROOT), count));
         figures.put("reasons", reasons);
--- a/src/main/java/crankwick/simulation/Reachability.java
+++ b/src/main/java/crankwick/simulation/Reachability.java
@@ -1,7 +1,8 @@
 package crankwick.simulation;
 
-/** Whether a write that met a failover could have been served, by the kind of that failover. */
+/** Whether a write affected by a failover could have been served, and the kind of the failover. */
 enum Reachability {
+    /** The write is not counted as reachable: not yet classified, not reachable, or counted already. */
     UNKNOWN("unknown"),
     UNPLANNED("unplanned"),
     PLANNED("planned"),
@@ -14,7 +15,7 @@
         this.figure = figure;
     }
 
-    /** Its name in the figures of a run. */
+    /** The name in the figures of a run. */
     String figure() {
         return figure;
     }
--- a/src/test/java/crankwick/app/ClientListenerIT.java
+++ b/src/test/java/crankwick/app/ClientListenerIT.java
@@ -13,30 +13,30 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What only one of the fronts has. */
+/** Behavior that is specific to the client listener of one protocol, and validation of the operator's file. */
 public class ClientListenerIT {
     private static String statement(String id, String className) {
         return "/* id=" + id + ",c=" + className + ",d=2000,k=1,cluster=0 */ SELECT val FROM state";
     }
 
-    /** Guards against answers that overtake each other: the write is slow, the read behind it is not. */
+    /** Guards against replies out of order: the write is slow, the read pipelined behind it is fast. */
     @Test
-    public void pgAnswersKeepTheCommandsOrder() throws Exception {
+    public void pgRepliesAreSentInCommandOrder() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            d.primary().delayMs = 300;
+            d.primary().delayMillis = 300;
             client.send(statement("1", "reserve"));
             client.send(statement("2", "map-view"));
             client.send("");
-            assertEquals(client.answer().value(), "s-a:1");
-            assertTrue(client.answer().value().endsWith(":2"));
-            assertEquals(client.answer().kind(), "EMPTY");
-            assertEquals(d.ledger.at("s-a").size(), 1);
+            assertEquals(client.readAnswer().value(), "s-a:1");
+            assertTrue(client.readAnswer().value().endsWith(":2"));
+            assertEquals(client.readAnswer().kind(), "EMPTY");
+            assertEquals(d.attemptLog.attemptsAt("s-a").size(), 1);
         }
     }
 
     @Test
-    public void pgTakesByteByByteWhatFollowsARefusedEncryption() throws Exception {
+    public void pgAcceptsInputByteByByteAfterRefusingEncryption() throws Exception {
         PgTestClient wire = new PgTestClient();
         try (Deployment d = new Deployment(wire);
                 Socket socket = d.connect()) {
@@ -50,14 +50,14 @@
                 Thread.sleep(1);
             }
             assertEquals(
-                    wire.answer(new java.io.DataInputStream(socket.getInputStream()))
+                    wire.readAnswer(new java.io.DataInputStream(socket.getInputStream()))
                             .kind(),
                     "SERVED");
         }
     }
 
     @Test
-    public void tdsTeamsKeepToTheirContracts() throws Exception {
+    public void tdsTeamContractsAreEnforced() throws Exception {
         TdsTestClient wire = new TdsTestClient();
         try (Deployment d = new Deployment(wire);
                 Deployment.Client reports = d.new Client("reports");
@@ -65,48 +65,48 @@
                 Deployment.Client third = d.new Client("reports");
                 Deployment.Client collectors = d.client()) {
             assertThrows(EOFException.class, () -> d.new Client("strangers"));
-            assertEquals(reports.ask(statement("1", "reserve")).code(), "50203");
-            d.databases.forEach(database -> database.delayMs = 3_000);
+            assertEquals(reports.execute(statement("1", "reserve")).code(), "50203");
+            d.databases.forEach(database -> database.delayMillis = 3_000);
             reports.send(statement("2", "map-view"));
             more.send(statement("3", "map-view"));
             Thread.sleep(100);
-            TestWireClient.Answer over = third.ask(statement("4", "map-view"));
+            TestWireClient.Answer over = third.execute(statement("4", "map-view"));
             assertEquals(over.code(), "50103", over.toString());
             assertTrue(over.retryAfter() > 0, over.toString());
-            // Their deadline is capped at 400 ms, though they would wait longer.
+            // The team's deadline cap of 400 ms is shorter than the deadline of these requests.
             long start = System.nanoTime();
-            assertTrue(reports.answer().kind().matches("REFUSED|FAILED"));
-            assertTrue(more.answer().kind().matches("REFUSED|FAILED"));
+            assertTrue(reports.readAnswer().kind().matches("REFUSED|FAILED"));
+            assertTrue(more.readAnswer().kind().matches("REFUSED|FAILED"));
             assertTrue(System.nanoTime() - start < 1_500_000_000L);
-            d.databases.forEach(database -> database.delayMs = 0);
+            d.databases.forEach(database -> database.delayMillis = 0);
             TestWireClient.Answer last = null;
             for (int i = 5; i < 60 && (last == null || !last.code().equals("50102")); i++) {
-                last = third.ask(statement("" + i, "map-view"));
+                last = third.execute(statement("" + i, "map-view"));
             }
             assertEquals(last.code(), "50102");
             assertTrue(last.retryAfter() > 0 && last.retryAfter() <= 200, last.toString());
-            assertEquals(collectors.ask(statement("60", "reserve")).kind(), "SERVED");
+            assertEquals(collectors.execute(statement("60", "reserve")).kind(), "SERVED");
         }
     }
 
-    /** Guards against the withdrawn request's answer coming after the attention's. */
+    /** Guards against the cancelled request's reply being sent after the acknowledgement of the attention. */
     @Test
-    public void tdsAttentionWithdrawsTheBatch() throws Exception {
+    public void tdsAttentionCancelsTheBatch() throws Exception {
         TdsTestClient wire = new TdsTestClient();
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.primary().delayMs = 500;
+            d.primary().delayMillis = 500;
             client.send(statement("1", "reserve"));
             Thread.sleep(100);
-            wire.attention(client.socket);
-            assertEquals(client.answer().kind(), "ATTENTION");
-            assertEquals(client.ask(statement("2", "reserve")).value(), "s-a:2");
+            wire.sendAttention(client.socket);
+            assertEquals(client.readAnswer().kind(), "ATTENTION");
+            assertEquals(client.execute(statement("2", "reserve")).value(), "s-a:2");
         }
     }
 
-    /** Mistakes in the operator's file and the key that the one line must name. */
+    /** Invalid edits of the operator's file, and the key that the one-line error must name. */
     @DataProvider
-    public Object[][] mistakes() {
+    public Object[][] invalidOperatorFiles() {
         return new Object[][] {
             {"listen = ", "listne = ", "listne"},
             {"sockets = 512", "sockets = 'x'", "sockets"},
@@ -122,15 +122,15 @@
         };
     }
 
-    @Test(dataProvider = "mistakes")
-    public void mistakeInTheOperatorsFileStopsTheStart(String right, String wrong, String key) throws Exception {
+    @Test(dataProvider = "invalidOperatorFiles")
+    public void invalidOperatorFileFailsStartup(String validText, String invalidText, String key) throws Exception {
         Path folder = Files.createTempDirectory("crankwick");
         Files.copy(
                 Path.of("deploy/stations.zone"), folder.resolve("stations.zone"), StandardCopyOption.REPLACE_EXISTING);
         String text = Files.readString(Path.of("deploy/tds.toml"));
-        assertTrue(text.contains(right));
-        Process process =
-                Deployment.start(null, Files.writeString(folder.resolve("tds.toml"), text.replace(right, wrong)));
+        assertTrue(text.contains(validText));
+        Process process = Deployment.start(
+                null, Files.writeString(folder.resolve("tds.toml"), text.replace(validText, invalidText)));
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(process.waitFor(), 2, output);
         assertEquals(output.lines().count(), 1, output);
--- a/src/test/java/crankwick/app/ClientsIT.java
+++ b/src/test/java/crankwick/app/ClientsIT.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Clients of all habits, and the end of the process, the same checks on both wires. */
-public class ClientsIT extends OnBothWires {
+/** Invalid, slow, pipelining and disconnecting clients, and graceful shutdown, on both protocols. */
+public class ClientsIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
-    public void statementThatCantBeReadFailsAlone(TestWireClient wire) throws Exception {
+    public void invalidStatementFailsWithoutAffectingOthers(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             List<String> hints = List.of(
@@ -31,21 +31,21 @@
                     "id=,c=map-view,d=480,cluster=0",
                     ",,=,");
             for (String hint : hints) {
-                assertEquals(client.ask("/* " + hint + " */ SELECT 1").kind(), "FAILED", hint);
+                assertEquals(client.execute("/* " + hint + " */ SELECT 1").kind(), "FAILED", hint);
             }
-            assertEquals(client.ask("SELECT 1").kind(), "FAILED");
-            assertEquals(client.ask("/* id=1").kind(), "FAILED");
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
-            assertEquals(d.ledger.seen.size(), 1);
-            kept(d);
+            assertEquals(client.execute("SELECT 1").kind(), "FAILED");
+            assertEquals(client.execute("/* id=1").kind(), "FAILED");
+            assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
+            assertEquals(d.attemptLog.attempts.size(), 1);
+            assertNoViolations(d);
         }
     }
 
     @Test(dataProvider = "wires")
-    public void nonsenseEndsOnlyItsOwnConnection(TestWireClient wire) throws Exception {
+    public void invalidInputClosesOnlyItsOwnConnection(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            for (byte[] bytes : wire.nonsense()) {
+            for (byte[] bytes : wire.invalidInputs()) {
                 for (boolean loggedIn : new boolean[] {false, true}) {
                     try (Socket socket = d.connect()) {
                         if (loggedIn) {
@@ -56,23 +56,23 @@
                         readToEnd(socket);
                     }
                 }
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    /** Guards against connections held by who says nothing, stops midway, or goes on beyond all bounds. */
+    /** Guards against silent clients, and clients that stop within a message, occupying connections without limit. */
     @Test(dataProvider = "wires")
-    public void whoDoesNotAskInTimeOrWithoutEndIsLetGo(TestWireClient wire) throws Exception {
+    public void clientsWithoutACompleteCommandInTimeAreDisconnected(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+            assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 400; i++) {
                 silent.add(d.connect());
             }
-            for (byte[] bytes : new byte[][] {{0}, wire.command(statement("map-view", 1000, ""), 1)}) {
+            for (byte[] bytes : new byte[][] {{0}, wire.encodeCommand(statement("map-view", 1000, ""), 1)}) {
                 silent.add(d.connect());
                 if (bytes.length > 1) {
                     wire.login(silent.get(silent.size() - 1), "collectors");
@@ -81,9 +81,9 @@
             }
             for (int i = 0; i < 40; i++) {
                 try (Deployment.Client more = d.client()) {
-                    assertEquals(more.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                    assertEquals(more.execute(statement("map-view", 1000, "")).kind(), "SERVED");
                 }
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
             long start = System.nanoTime();
             for (Socket socket : silent) {
@@ -91,61 +91,61 @@
                 socket.close();
             }
             assertTrue(System.nanoTime() - start < TimeUnit.SECONDS.toNanos(8));
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    /** Guards against a reset that destroys the error, and against memory for whatever is said to come. */
+    /** Guards against a reset that discards the error reply, and against allocating memory for an announced length. */
     @Test(dataProvider = "wires")
-    public void tooLargeACommandIsToldSoBehindWhatWasAskedBefore(TestWireClient wire) throws Exception {
+    public void oversizedCommandFailsAfterEarlierReplies(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.primary().delayMs = 300;
+            d.primary().delayMillis = 300;
             client.send(statement("reserve", 3000, ""));
-            String before = id();
-            client.socket.getOutputStream().write(wire.command("x".repeat(4 << 20), 0));
-            assertEquals(client.answer().value(), "s-a:" + before);
-            assertEquals(client.answer().kind(), "FAILED");
-            assertEquals(client.answer().kind(), "CLOSED");
-            kept(d);
+            String before = lastId();
+            client.socket.getOutputStream().write(wire.encodeCommand("x".repeat(4 << 20), 0));
+            assertEquals(client.readAnswer().value(), "s-a:" + before);
+            assertEquals(client.readAnswer().kind(), "FAILED");
+            assertEquals(client.readAnswer().kind(), "CLOSED");
+            assertNoViolations(d);
         }
     }
 
-    /** Guards against a client's commands being dropped because they are many. */
+    /** Guards against dropping commands of a client that pipelines hundreds of them. */
     @Test(dataProvider = "wires")
-    public void hundredsOfCommandsAtOnceAreAllAnsweredInTurn(TestWireClient wire) throws Exception {
+    public void hundredsOfPipelinedCommandsAreAllAnsweredInOrder(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            int last = Integer.parseInt(id());
+            int last = Integer.parseInt(lastId());
             for (int i = 0; i < 400; i++) {
                 client.send(i % 2 == 0 ? statement("map-view", 10_000, "") : "SELECT " + i);
             }
             for (int i = 0; i < 400; i++) {
-                TestWireClient.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.readAnswer();
                 assertTrue(
                         i % 2 == 1
                                 ? answer.kind().equals("FAILED")
                                 : answer.value() == null || answer.value().endsWith(":" + (last + 1 + i / 2)),
                         i + " " + answer);
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    /** Guards against two attempts in flight under one id, whoever sends it. */
+    /** Guards against two attempts in flight under one id, also if two clients send it. */
     @Test(dataProvider = "wires")
-    public void idOfAnOpenRequestServesNobodyElse(TestWireClient wire) throws Exception {
+    public void secondRequestWithAnOpenIdFails(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client();
                 Deployment.Client other = d.client()) {
-            d.primary().delayMs = 400;
+            d.primary().delayMillis = 400;
             String statement = statement("reserve", 3000, "");
             client.send(statement);
             Thread.sleep(100);
-            assertEquals(other.ask(statement).kind(), "FAILED");
-            served(client.answer(), "s-a");
-            assertEquals(d.ledger.seen.size(), 1);
-            kept(d);
+            assertEquals(other.execute(statement).kind(), "FAILED");
+            assertServedBy(client.readAnswer(), "s-a");
+            assertEquals(d.attemptLog.attempts.size(), 1);
+            assertNoViolations(d);
         }
     }
 
@@ -153,72 +153,72 @@
         try {
             socket.getInputStream().readAllBytes();
         } catch (java.net.SocketException e) {
-            // Reset rather than closed: ended all the same.
+            // A reset also counts as closed by the proxy.
             assertTrue(e.getMessage().contains("reset"), e.toString());
         }
     }
 
     @Test(dataProvider = "wires")
-    public void clientThatLeavesTakesNothingWithIt(TestWireClient wire) throws Exception {
+    public void clientDisconnectDoesNotAffectOtherClients(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.delayMs = 400);
-            try (Deployment.Client leaver = d.client()) {
-                leaver.send(statement("reserve", 3000, ""));
+            d.databases.forEach(database -> database.delayMillis = 400);
+            try (Deployment.Client disconnectingClient = d.client()) {
+                disconnectingClient.send(statement("reserve", 3000, ""));
                 Thread.sleep(100);
             }
-            assertEquals(client.ask(statement("reserve", 3000, "")).kind(), "SERVED");
-            kept(d);
+            assertEquals(client.execute(statement("reserve", 3000, "")).kind(), "SERVED");
+            assertNoViolations(d);
         }
     }
 
-    /** Guards against work begun for a client that has gone, on a connection that came up after it had. */
+    /** Guards against starting an attempt on a connection that is established after the client has disconnected. */
     @Test(dataProvider = "wires")
-    public void nothingIsBegunForAClientThatHasGone(TestWireClient wire) throws Exception {
+    public void noAttemptStartsForADisconnectedClient(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0")) {
-            d.databases.forEach(database -> database.greetMs = 1_000);
+            d.databases.forEach(database -> database.greetingDelayMillis = 1_000);
             for (String className : List.of("reserve", "map-view")) {
-                try (Deployment.Client leaver = d.client()) {
-                    leaver.send(statement(className, 3000, ""));
+                try (Deployment.Client disconnectingClient = d.client()) {
+                    disconnectingClient.send(statement(className, 3000, ""));
                     Thread.sleep(300);
                 }
             }
             Thread.sleep(1_500);
-            assertEquals(d.ledger.seen, List.of());
+            assertEquals(d.attemptLog.attempts, List.of());
             try (Deployment.Client client = d.client()) {
-                served(client.ask(statement("reserve", 3000, "")), "s-a");
+                assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    /** Guards against a request behind another after SIGTERM that wants more time than is left. */
+    /** A request pipelined after SIGTERM is answered before the exit, even if its deadline is later. */
     @Test(dataProvider = "wires")
-    public void requestBehindAnotherAfterSigtermIsAnsweredBeforeTheEnd(TestWireClient wire) throws Exception {
+    public void requestPipelinedAfterSigtermIsAnsweredBeforeExit(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
-            d.databases.forEach(database -> database.word = "SILENT");
+            d.databases.forEach(database -> database.replyKind = "NO_REPLY");
             client.send(statement("reserve", 3000, ""));
             Thread.sleep(100);
             d.process.toHandle().destroy();
             Thread.sleep(1_200);
             client.send(statement("reserve", 3000, ""));
             for (int i = 0; i < 2; i++) {
-                TestWireClient.Answer answer = client.answer();
+                TestWireClient.Answer answer = client.readAnswer();
                 assertTrue(answer.kind().matches("FAILED|REFUSED"), i + ": " + answer);
             }
             assertTrue(d.process.waitFor(10, TimeUnit.SECONDS));
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    /** Planned restarts must lose nothing: what is out is answered, and only then does the program end. */
+    /** Planned restarts must not lose requests: the process exits only after all open requests are answered. */
     @Test(dataProvider = "wires")
-    public void sigtermLosesNothingThatWasTaken(TestWireClient wire) throws Exception {
+    public void sigtermLosesNoAcceptedRequest(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client idle = d.client();
                 Deployment.Client late = d.client()) {
-            d.primary().delayMs = 1_200;
+            d.primary().delayMillis = 1_200;
             List<Deployment.Client> clients = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 clients.add(d.client());
@@ -228,17 +228,17 @@
             d.process.toHandle().destroy();
             Thread.sleep(100);
             late.send(statement("map-view", 1000, ""));
-            assertEquals(late.answer().kind(), "SERVED");
+            assertEquals(late.readAnswer().kind(), "SERVED");
             for (Deployment.Client client : clients) {
-                assertEquals(client.answer().kind(), "SERVED");
+                assertEquals(client.readAnswer().kind(), "SERVED");
                 client.close();
             }
-            assertEquals(idle.answer().kind(), "CLOSED");
-            String counters = d.end();
+            assertEquals(idle.readAnswer().kind(), "CLOSED");
+            String counters = d.terminate();
             assertTrue(
                     counters.contains("received=4 sent=4") && counters.contains("served=4 rejected={} failed={}"),
                     counters);
-            kept(d);
+            assertNoViolations(d);
         }
     }
 }
--- a/src/test/java/crankwick/app/ConnectionRaceTest.java
+++ b/src/test/java/crankwick/app/ConnectionRaceTest.java
@@ -8,361 +8,384 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Bytes that arrive in the very moment in which something ends, in an order that each test forces. */
+/**
+ * Races between incoming bytes and the end of a connection, a request or the proxy. Each test forces one order of
+ * events by pausing the event loop or by blocking the selector thread.
+ */
 public class ConnectionRaceTest {
-    private static final int WAIT_MS = 5_000;
-    private static final long TEST_TIMEOUT_MS = 30_000;
+    private static final int DEADLINE_MILLIS = 5_000;
+    private static final long TEST_TIMEOUT_MILLIS = 30_000;
 
-    /** After SIGTERM the connection is idle for the loop, while its command has just been read. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadAsTheProxyClosesIsAnswered() throws Exception {
+    /** Shutdown begins when a command has been read, but the event loop still regards its connection as idle. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandReadAsShutdownBeginsIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            proxy.loop.execute(() -> proxy.front.close(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
-            client.write("1", WAIT_MS);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(client.answer());
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            proxy.loop.execute(() -> proxy.clientListener.beginShutdown(
+                    proxy.clock.now() + DEADLINE_MILLIS * PausableProxyFixture.MICROS_PER_MILLI));
+            client.sendWrite("1", DEADLINE_MILLIS);
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(client.readAnswer());
         }
     }
 
-    /** Guards against a request that wants more time than is left being still open at the end. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void whoWaitsLongerThanTheProxyHasIsAnsweredBeforeItsEnd() throws Exception {
+    /** Guards against a request whose deadline is after the shutdown deadline staying open when the proxy exits. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void requestWithDeadlineAfterShutdownIsAnsweredBeforeExit() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            proxy.database.word = "SILENT";
-            client.write("1", 20_000);
-            while (proxy.ledger.sent("1") == 0) {
+            proxy.database.replyKind = "NO_REPLY";
+            client.sendWrite("1", 20_000);
+            while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
-            long latest = proxy.clock.now() + 500 * PausableProxyFixture.MS;
-            proxy.onLoop(() -> proxy.front.close(latest));
-            assertEquals(client.answer(), "Failed");
-            assertNull(client.answer());
-            long late = proxy.clock.now() - latest;
-            assertTrue(late >= 0 && late < 2_000 * PausableProxyFixture.MS, late + " us");
+            long shutdownDeadline = proxy.clock.now() + 500 * PausableProxyFixture.MICROS_PER_MILLI;
+            proxy.onLoop(() -> proxy.clientListener.beginShutdown(shutdownDeadline));
+            assertEquals(client.readAnswer(), "Failed");
+            assertNull(client.readAnswer());
+            long overrun = proxy.clock.now() - shutdownDeadline;
+            assertTrue(
+                    overrun >= 0 && overrun < 2_000 * PausableProxyFixture.MICROS_PER_MILLI,
+                    overrun + " us past the shutdown deadline");
         }
     }
 
-    /** A connection has been idle for its whole time, and its command has just been read. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadAsItsIdleConnectionEndsIsAnswered() throws Exception {
+    /** Guards against closing a connection as idle when a command has been read from it but not yet processed. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandReadAsIdleTimeoutExpiresIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(2);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
             Thread.sleep(2_500);
-            client.write("1", WAIT_MS);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(other.answer());
+            client.sendWrite("1", DEADLINE_MILLIS);
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(other.readAnswer());
         }
     }
 
-    /** An idle connection is to make room for a new one, and its command has just been read. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadAsItsConnectionMakesRoomIsAnswered() throws Exception {
+    /** Guards against evicting a connection as idle when a command has been read from it but not yet processed. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandReadAsItsConnectionIsEvictedIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(1);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            proxy.awaitReader();
-            client.write("1", WAIT_MS);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            proxy.awaitSelectorThread();
+            client.sendWrite("1", DEADLINE_MILLIS);
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
         }
     }
 
-    /** Half a command has been read when the proxy closes: its other half comes, and then its answer. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandReadInHalfAsTheProxyClosesIsAnswered() throws Exception {
+    /** Shutdown begins when half of a command has been read: the proxy reads the other half and answers. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void partialCommandReadAsShutdownBeginsIsAnswered() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            client.begin("/* id=1,c=write,d=5000,k=k1,clus");
-            proxy.awaitReader();
-            hold.release();
-            proxy.onLoop(() -> proxy.front.close(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            client.sendPart("/* id=1,c=write,d=5000,k=k1,clus");
+            proxy.awaitSelectorThread();
+            pause.resume();
+            proxy.onLoop(() -> proxy.clientListener.beginShutdown(
+                    proxy.clock.now() + DEADLINE_MILLIS * PausableProxyFixture.MICROS_PER_MILLI));
             client.send("ter=0 */ INSERT");
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(client.answer());
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(client.readAnswer());
         }
     }
 
-    /** The connection to the database is up; the client has closed, which the loop has not heard yet. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void nothingIsWrittenForAClientThatHasJustClosed() throws Exception {
+    /** The database connection becomes ready before the event loop has processed the client's close. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandIsNotSentAfterItsClientCloses() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            PausableProxyFixture.Client leaver = proxy.new Client();
-            PausableProxyFixture.Hold beforeGreeting = greetedWhileHeld(proxy, leaver);
-            PausableProxyFixture.Hold beforeClose = proxy.queueHold();
-            leaver.close();
-            letGreetingPass(proxy, beforeGreeting, beforeClose);
-            other.write("2", WAIT_MS);
-            assertEquals(other.answer(), "Served primary:2");
-            assertEquals(proxy.ledger.sent("1"), 0, proxy.ledger.seen.toString());
+            PausableProxyFixture.Client closingClient = proxy.new Client();
+            PausableProxyFixture.LoopPause beforeGreeting = awaitGreetingWithLoopPaused(proxy, closingClient);
+            PausableProxyFixture.LoopPause beforeClose = proxy.queueLoopPause();
+            closingClient.close();
+            deliverGreetingBeforeDisconnect(proxy, beforeGreeting, beforeClose);
+            other.sendWrite("2", DEADLINE_MILLIS);
+            assertEquals(other.readAnswer(), "Served primary:2");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** The same of a client that cancels its command and stays. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void nothingIsWrittenForACommandThatHasJustBeenCancelled() throws Exception {
+    /** The database connection becomes ready before the event loop has processed the client's cancel. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandIsNotSentAfterItIsCancelled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold beforeGreeting = greetedWhileHeld(proxy, client);
-            PausableProxyFixture.Hold beforeCancel = proxy.queueHold();
+            PausableProxyFixture.LoopPause beforeGreeting = awaitGreetingWithLoopPaused(proxy, client);
+            PausableProxyFixture.LoopPause beforeCancel = proxy.queueLoopPause();
             client.send(LineProtocolCodec.CANCEL);
-            letGreetingPass(proxy, beforeGreeting, beforeCancel);
-            assertEquals(client.answer(), "CancelAcknowledged");
-            client.write("2", WAIT_MS);
-            assertEquals(client.answer(), "Served primary:2");
-            assertEquals(proxy.ledger.sent("1"), 0, proxy.ledger.seen.toString());
+            deliverGreetingBeforeDisconnect(proxy, beforeGreeting, beforeCancel);
+            assertEquals(client.readAnswer(), "CancelAcknowledged");
+            client.sendWrite("2", DEADLINE_MILLIS);
+            assertEquals(client.readAnswer(), "Served primary:2");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** A write of id 1 waits for its connection, whose greeting is behind the held loop when this returns. */
-    private static PausableProxyFixture.Hold greetedWhileHeld(
+    /**
+     * Sends a write with id 1, which waits for a database connection. Returns with the event loop paused and the
+     * greeting of that connection read by the selector thread.
+     */
+    private static PausableProxyFixture.LoopPause awaitGreetingWithLoopPaused(
             PausableProxyFixture proxy, PausableProxyFixture.Client client) throws Exception {
-        proxy.database.greeting = new CountDownLatch(1);
-        client.write("1", WAIT_MS);
-        while (proxy.database.opened.get() == 0) {
+        proxy.database.greetingLatch = new CountDownLatch(1);
+        client.sendWrite("1", DEADLINE_MILLIS);
+        while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
-        PausableProxyFixture.Hold hold = proxy.hold();
-        proxy.database.greeting.countDown();
-        while (proxy.database.greeted.get() == 0) {
+        PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+        proxy.database.greetingLatch.countDown();
+        while (proxy.database.greetedConnections.get() == 0) {
             Thread.sleep(1);
         }
-        proxy.awaitReader();
-        return hold;
+        proxy.awaitSelectorThread();
+        return pause;
     }
 
-    /** The reader has seen the client go when the loop hears of the greeting; the loop hears of it after. */
-    private static void letGreetingPass(
-            PausableProxyFixture proxy, PausableProxyFixture.Hold beforeGreeting, PausableProxyFixture.Hold beforeEnd)
+    /**
+     * Lets the event loop process the greeting when the selector thread has already read the client's close or cancel,
+     * which the event loop processes afterwards.
+     */
+    private static void deliverGreetingBeforeDisconnect(
+            PausableProxyFixture proxy,
+            PausableProxyFixture.LoopPause beforeGreeting,
+            PausableProxyFixture.LoopPause beforeDisconnect)
             throws Exception {
-        proxy.awaitReader();
-        beforeGreeting.release();
-        beforeEnd.await();
-        proxy.awaitReader();
-        beforeEnd.release();
+        proxy.awaitSelectorThread();
+        beforeGreeting.resume();
+        beforeDisconnect.await();
+        proxy.awaitSelectorThread();
+        beforeDisconnect.resume();
     }
 
-    /** A repeat's connection comes up after the window in which databases discard repeats. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void repeatIsNotWrittenOnceItsKeysWindowIsOver() throws Exception {
+    /** The connection for a retry becomes ready after the key window, when databases no longer deduplicate. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void retryIsNotSentAfterItsKeyWindowExpires() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            proxy.database.word = "BREAK";
-            proxy.database.delayMs = 200;
-            client.write("1", WAIT_MS);
-            while (proxy.ledger.sent("1") == 0) {
+            proxy.database.replyKind = "DISCONNECT";
+            proxy.database.delayMillis = 200;
+            client.sendWrite("1", DEADLINE_MILLIS);
+            while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
-            proxy.database.greeting = new CountDownLatch(1);
-            int opened = proxy.database.opened.get();
-            while (proxy.database.opened.get() == opened) {
+            proxy.database.greetingLatch = new CountDownLatch(1);
+            int opened = proxy.database.openedConnections.get();
+            while (proxy.database.openedConnections.get() == opened) {
                 Thread.sleep(1);
             }
-            Thread.sleep(PausableProxyFixture.KEY_TTL / PausableProxyFixture.MS);
-            proxy.database.word = "VALUE";
-            proxy.database.greeting.countDown();
-            assertEquals(client.answer(), "Failed");
-            assertEquals(proxy.ledger.sent("1"), 1, proxy.ledger.seen.toString());
+            Thread.sleep(PausableProxyFixture.KEY_TTL / PausableProxyFixture.MICROS_PER_MILLI);
+            proxy.database.replyKind = "VALUE";
+            proxy.database.greetingLatch.countDown();
+            assertEquals(client.readAnswer(), "Failed");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 1, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** The time that a database is told counts from when the command was read, however late the loop is. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void lateLoopLeavesADatabaseLessTime() throws Exception {
+    /** The deadline sent to a database counts from when the command was read, even if the event loop is delayed. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void eventLoopDelayReducesTheDeadlineSentToTheDatabase() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            PausableProxyFixture.Hold hold = proxy.hold();
-            client.write("1", WAIT_MS);
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            client.sendWrite("1", DEADLINE_MILLIS);
             Thread.sleep(400);
-            hold.release();
-            assertEquals(client.answer(), "Served primary:1");
-            String told = proxy.ledger.seen.get(0).statement().replaceAll(".*,d=(\\d+),.*", "$1");
-            assertTrue(Integer.parseInt(told) <= WAIT_MS - 400, told);
+            pause.resume();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            String sentDeadline = proxy.attemptLog.attempts.get(0).statement().replaceAll(".*,d=(\\d+),.*", "$1");
+            assertTrue(Integer.parseInt(sentDeadline) <= DEADLINE_MILLIS - 400, sentDeadline);
         }
     }
 
     /**
-     * The client has closed while the thread that reads was held up, and its command is the next thing that this
-     * thread has to write: what has arrived is read first.
+     * The client closes while the selector thread is blocked and the write of its command is queued on that thread.
+     * The selector thread reads pending input first, and so detects the close before the write.
      */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void nothingIsWrittenForAClientThatClosedWhileTheReaderWasHeldUp() throws Exception {
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandIsNotSentIfItsClientClosesWhileSelectorIsBlocked() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            other.write("1", WAIT_MS);
-            assertEquals(other.answer(), "Served primary:1");
+            other.sendWrite("1", DEADLINE_MILLIS);
+            assertEquals(other.readAnswer(), "Served primary:1");
             Thread.sleep(100);
-            PausableProxyFixture.Client leaver = proxy.new Client();
-            PausableProxyFixture.Hold hold = proxy.hold();
-            leaver.write("2", WAIT_MS);
-            other.send(LineProtocolCodec.HOLD_READER);
-            leaver.close();
+            PausableProxyFixture.Client closingClient = proxy.new Client();
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            closingClient.sendWrite("2", DEADLINE_MILLIS);
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
+            closingClient.close();
             Thread.sleep(100);
-            hold.release();
+            pause.resume();
             proxy.onLoop(() -> {});
-            proxy.wire.readerReleased.countDown();
-            other.write("3", WAIT_MS);
-            assertEquals(other.answer(), "Served primary:3");
-            assertEquals(proxy.ledger.sent("2"), 0, proxy.ledger.seen.toString());
+            proxy.wire.selectorReleased.countDown();
+            other.sendWrite("3", DEADLINE_MILLIS);
+            assertEquals(other.readAnswer(), "Served primary:3");
+            assertEquals(proxy.attemptLog.countAttempts("2"), 0, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** An idle connection is to end; its command has arrived while the thread that reads was held up. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandThatArrivesWhileTheReaderIsHeldUpIsAnsweredAsTheProxyCloses() throws Exception {
+    /** A command arrives after shutdown has begun, but before the blocked selector thread closes its connection. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandArrivingWhileSelectorIsBlockedIsAnsweredDuringShutdown() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            other.send(LineProtocolCodec.HOLD_READER);
-            proxy.onLoop(() -> proxy.front.close(proxy.clock.now() + WAIT_MS * PausableProxyFixture.MS));
-            client.begin("/* id=1,c=write,d=5000,k=k1,cluster=0 */ INSERT\n");
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
+            proxy.onLoop(() -> proxy.clientListener.beginShutdown(
+                    proxy.clock.now() + DEADLINE_MILLIS * PausableProxyFixture.MICROS_PER_MILLI));
+            client.sendPart("/* id=1,c=write,d=5000,k=k1,cluster=0 */ INSERT\n");
             Thread.sleep(100);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
-            assertNull(client.answer());
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertNull(client.readAnswer());
         }
     }
 
-    /** A command's other half has arrived while the thread that reads was held up: the client does not stall. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandWhoseEndHasArrivedIsNoStall() throws Exception {
+    /** Guards against treating a client as stalled when its command is completed while the selector is blocked. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandCompletedWhileSelectorIsBlockedIsNotStalled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            client.begin("/* id=1,c=write,d=5000,k=k1,clus");
-            proxy.awaitReader();
-            other.send(LineProtocolCodec.HOLD_READER);
-            client.begin("ter=0 */ INSERT\n");
+            client.sendPart("/* id=1,c=write,d=5000,k=k1,clus");
+            proxy.awaitSelectorThread();
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
+            client.sendPart("ter=0 */ INSERT\n");
             Thread.sleep(2_500);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
         }
     }
 
-    /** The same of a database's answer: its attempt is not given up, and not made again. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void answerWhoseEndHasArrivedIsNoStall() throws Exception {
+    /**
+     * The second half of a database's reply arrives while the selector thread is blocked: the attempt does not fail and
+     * is not retried.
+     */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void responseCompletedWhileSelectorIsBlockedIsNotStalled() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            proxy.database.word = "HALVES";
-            client.write("1", WAIT_MS);
-            while (proxy.ledger.sent("1") == 0) {
+            proxy.database.replyKind = "SPLIT";
+            client.sendWrite("1", DEADLINE_MILLIS);
+            while (proxy.attemptLog.countAttempts("1") == 0) {
                 Thread.sleep(1);
             }
-            PausableProxyFixture.Hold hold = proxy.hold();
-            proxy.database.halves.release();
+            PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+            proxy.database.splitPermits.release();
             Thread.sleep(50);
-            proxy.awaitReader();
-            other.send(LineProtocolCodec.HOLD_READER);
-            proxy.database.halves.release();
+            proxy.awaitSelectorThread();
+            other.send(LineProtocolCodec.BLOCK_SELECTOR);
+            proxy.database.splitPermits.release();
             Thread.sleep(400);
-            hold.release();
+            pause.resume();
             Thread.sleep(200);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
-            assertEquals(proxy.ledger.sent("1"), 1, proxy.ledger.seen.toString());
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertEquals(proxy.attemptLog.countAttempts("1"), 1, proxy.attemptLog.attempts.toString());
         }
     }
 
-    /** A database's greeting has arrived in time, while the thread that reads was held up. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void greetingThatHasArrivedIsInTime() throws Exception {
-        int timeoutMs = 500;
-        try (PausableProxyFixture proxy = new PausableProxyFixture(10, timeoutMs * PausableProxyFixture.MS);
+    /** A database's greeting arrives within the connect timeout while the selector thread is blocked. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void greetingReceivedWhileSelectorIsBlockedIsInTime() throws Exception {
+        int timeoutMillis = 500;
+        try (PausableProxyFixture proxy =
+                        new PausableProxyFixture(10, timeoutMillis * PausableProxyFixture.MICROS_PER_MILLI);
                 PausableProxyFixture.Client client = proxy.new Client();
                 PausableProxyFixture.Client other = proxy.new Client()) {
-            proxy.database.greeting = new CountDownLatch(1);
-            PausableProxyFixture.Hold hold = greetedWhileHeldUp(proxy, client, other);
-            Thread.sleep(2 * timeoutMs);
-            hold.release();
+            proxy.database.greetingLatch = new CountDownLatch(1);
+            PausableProxyFixture.LoopPause pause = sendGreetingWithSelectorBlocked(proxy, client, other);
+            Thread.sleep(2 * timeoutMillis);
+            pause.resume();
             Thread.sleep(100);
-            proxy.wire.readerReleased.countDown();
-            assertEquals(client.answer(), "Served primary:1");
-            assertEquals(proxy.database.opened.get(), 1);
+            proxy.wire.selectorReleased.countDown();
+            assertEquals(client.readAnswer(), "Served primary:1");
+            assertEquals(proxy.database.openedConnections.get(), 1);
         }
     }
 
-    /** A write of id 1 waits for its connection, whose greeting is before the held reader when this returns. */
-    private static PausableProxyFixture.Hold greetedWhileHeldUp(
+    /**
+     * Sends a write with id 1, which waits for a database connection. Returns with the event loop paused and the
+     * selector thread blocked, and lets the database send the greeting of that connection.
+     */
+    private static PausableProxyFixture.LoopPause sendGreetingWithSelectorBlocked(
             PausableProxyFixture proxy, PausableProxyFixture.Client client, PausableProxyFixture.Client other)
             throws Exception {
-        client.write("1", WAIT_MS);
-        while (proxy.database.opened.get() == 0) {
+        client.sendWrite("1", DEADLINE_MILLIS);
+        while (proxy.database.openedConnections.get() == 0) {
             Thread.sleep(1);
         }
-        proxy.awaitReader();
+        proxy.awaitSelectorThread();
         proxy.onLoop(() -> {});
-        PausableProxyFixture.Hold hold = proxy.hold();
-        other.send(LineProtocolCodec.HOLD_READER);
-        proxy.database.greeting.countDown();
-        return hold;
+        PausableProxyFixture.LoopPause pause = proxy.pauseLoop();
+        other.send(LineProtocolCodec.BLOCK_SELECTOR);
+        proxy.database.greetingLatch.countDown();
+        return pause;
     }
 
-    /** However many commands a client sends behind one that waits: each has its answer, in its turn. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void commandsBeyondTheLimitAreRefusedInTheirPlaces() throws Exception {
-        int more = 200_000;
+    /** Commands pipelined behind an unanswered one are all answered in order, those over the limit with a rejection. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void commandsOverTheLimitAreRejectedInOrder() throws Exception {
+        int pipelinedCommands = 200_000;
         try (PausableProxyFixture proxy = new PausableProxyFixture(10);
                 PausableProxyFixture.Client client = proxy.new Client()) {
-            proxy.database.word = "SILENT";
-            client.write("1", 2_000);
-            client.begin("\n".repeat(more));
-            assertEquals(client.answer(), "Failed");
-            int nothing = 0;
-            int refused = 0;
-            for (int i = 0; i < more; i++) {
-                String answer = client.answer();
+            proxy.database.replyKind = "NO_REPLY";
+            client.sendWrite("1", 2_000);
+            client.sendPart("\n".repeat(pipelinedCommands));
+            assertEquals(client.readAnswer(), "Failed");
+            int emptyReplies = 0;
+            int rejections = 0;
+            for (int i = 0; i < pipelinedCommands; i++) {
+                String answer = client.readAnswer();
                 assertTrue(answer.equals("EmptyQueryResponse") || answer.equals("Rejected"), i + ": " + answer);
-                nothing += answer.equals("EmptyQueryResponse") ? 1 : 0;
-                refused += answer.equals("Rejected") ? 1 : 0;
+                emptyReplies += answer.equals("EmptyQueryResponse") ? 1 : 0;
+                rejections += answer.equals("Rejected") ? 1 : 0;
             }
-            assertEquals(nothing + refused, more);
-            assertTrue(nothing >= 1_023, nothing + " of those behind the first are within the limit");
-            assertTrue(proxy.front.counters().contains(" open_bytes=0"), proxy.front.counters());
+            assertEquals(emptyReplies + rejections, pipelinedCommands);
+            assertTrue(emptyReplies >= 1_023, emptyReplies + " empty queries answered within the limit");
+            assertTrue(proxy.clientListener.counters().contains(" open_bytes=0"), proxy.clientListener.counters());
         }
     }
 
-    /** The same client goes instead: its close is seen behind all that it has sent. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void closeBehindCommandsBeyondTheLimitIsSeen() throws Exception {
+    /** A client that closes after pipelining commands over the limit: the close behind them is detected. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void closeBehindCommandsOverTheLimitIsDetected() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
-            proxy.database.word = "SILENT";
+            proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
-            client.write("1", WAIT_MS);
-            client.begin("\n".repeat(200_000));
+            client.sendWrite("1", DEADLINE_MILLIS);
+            client.sendPart("\n".repeat(200_000));
             client.close();
             long from = System.nanoTime();
-            while (proxy.owed() > 0) {
+            while (proxy.outstandingRequests() > 0) {
                 Thread.sleep(1);
             }
-            assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(WAIT_MS / 2));
-            assertTrue(proxy.front.counters().contains(" open_bytes=0"), proxy.front.counters());
+            assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(DEADLINE_MILLIS / 2));
+            assertTrue(proxy.clientListener.counters().contains(" open_bytes=0"), proxy.clientListener.counters());
         }
     }
 
-    /** Guards against reading so little ahead that a client's close behind its commands is not seen. */
-    @Test(timeOut = TEST_TIMEOUT_MS)
-    public void closeBehindManyUnansweredCommandsIsSeen() throws Exception {
+    /** Guards against pausing reads at 200 open commands, which would hide the client's close behind them. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void closeBehindManyUnansweredCommandsIsDetected() throws Exception {
         try (PausableProxyFixture proxy = new PausableProxyFixture(10)) {
-            proxy.database.word = "SILENT";
+            proxy.database.replyKind = "NO_REPLY";
             PausableProxyFixture.Client client = proxy.new Client();
             for (int i = 1; i <= 200; i++) {
-                client.write(Integer.toString(i), WAIT_MS);
+                client.sendWrite(Integer.toString(i), DEADLINE_MILLIS);
             }
-            proxy.awaitReader();
-            assertEquals(proxy.owed(), 200);
+            proxy.awaitSelectorThread();
+            assertEquals(proxy.outstandingRequests(), 200);
             client.close();
-            proxy.awaitReader();
-            assertEquals(proxy.owed(), 0);
+            proxy.awaitSelectorThread();
+            assertEquals(proxy.outstandingRequests(), 0);
         }
     }
 }
--- a/src/test/java/crankwick/app/Deployment.java
+++ b/src/test/java/crankwick/app/Deployment.java
@@ -18,11 +18,11 @@
 import java.util.concurrent.TimeUnit;
 import org.tomlj.Toml;
 
-/** The real program as a process, a group of three databases, and the list that names them. */
+/** Runs the program as a process, with a group of three scripted databases and the endpoint list that names them. */
 final class Deployment implements AutoCloseable {
     private static final Path OPERATOR_FILE = Path.of("deploy/tds.toml");
 
-    /** A client connection that has asked once, so that a test may let it wait before it asks for more. */
+    /** A client whose login and first query are complete, so that a test may leave it idle before the next query. */
     final class Client implements AutoCloseable {
         final Socket socket;
         final DataInputStream in;
@@ -31,22 +31,22 @@
             socket = connect();
             wire.login(socket, team);
             in = new DataInputStream(socket.getInputStream());
-            if (!ask("").kind().equals("EMPTY")) {
-                throw new IOException("the empty query is not answered");
+            if (!execute("").kind().equals("EMPTY")) {
+                throw new IOException("the empty query got no empty answer");
             }
         }
 
         void send(String statement) throws IOException {
-            wire.ask(socket, statement);
+            wire.send(socket, statement);
         }
 
-        TestWireClient.Answer answer() throws IOException {
-            return wire.answer(in);
+        TestWireClient.Answer readAnswer() throws IOException {
+            return wire.readAnswer(in);
         }
 
-        TestWireClient.Answer ask(String statement) throws IOException {
+        TestWireClient.Answer execute(String statement) throws IOException {
             send(statement);
-            return answer();
+            return readAnswer();
         }
 
         @Override
@@ -56,51 +56,57 @@
     }
 
     final TestWireClient wire;
-    private final String part;
-    private final String instead;
-    final ScriptedDatabase.Ledger ledger = new ScriptedDatabase.Ledger();
+    private final String originalText;
+    private final String replacementText;
+    final ScriptedDatabase.AttemptLog attemptLog = new ScriptedDatabase.AttemptLog();
     final List<ScriptedDatabase> databases = new ArrayList<>();
     final List<String> log = new CopyOnWriteArrayList<>();
     final Process process;
-    /** Fills the log; ends when the program has. */
-    private Thread reader;
+    /** Collects the log; ends with the program. */
+    private Thread logReader;
 
-    private final Path folder = Files.createTempDirectory("crankwick");
+    private final Path directory = Files.createTempDirectory("crankwick");
     private final Map<String, String> states = new LinkedHashMap<>();
     ScriptedDiscovery discovery;
-    private final Path config = folder.resolve("config");
+    private final Path config = directory.resolve("config");
     private String zoneFile = "stations.zone";
     private final int port;
     private int version = 1;
-    /** Watches that are open now are never answered. */
-    private int silentBefore;
-
-    private int calls;
-    /** Bytes that the system keeps for a client which does not read; as it likes where 0. */
-    volatile int receiveBuffer;
-    /** Databases of other groups that the list names besides. */
-    volatile int others;
-    /** An entry that can't be read stands before the rest, and where those that drain are can't be read. */
-    volatile boolean spoilt;
-    /** How long a call waits its turn; until when the last one is held. */
-    private int turnMs;
-
-    private long heldUntil;
+    /** Calls to discovery with a lower number are never answered. */
+    private int firstAnsweredCall;
+
+    private int discoveryCalls;
+    /** Receive buffer of a client's socket in bytes; the system's default if 0. */
+    volatile int receiveBufferBytes;
+    /** Number of databases of other groups in the list. */
+    volatile int otherGroupEndpoints;
+    /** Adds malformed entries to the list, and omits the ports of draining databases. */
+    volatile boolean hasMalformedEntries;
+    /** How long discovery delays the handling of each call. */
+    private int callDelayMillis;
+
+    /** When the long poll of the last call times out, by {@link System#nanoTime}. */
+    private long watchTimeoutAt;
 
     Deployment(TestWireClient wire) throws IOException, InterruptedException {
         this(wire, "", "");
     }
 
-    /** Of the operator's file and of the settings in it, one part reads otherwise. */
-    Deployment(TestWireClient wire, String part, String instead) throws IOException, InterruptedException {
+    /**
+     * Starts the program with {@code originalText} replaced in the operator's file, and thus also in the settings of
+     * the platform configuration, which are read from that file.
+     */
+    Deployment(TestWireClient wire, String originalText, String replacementText)
+            throws IOException, InterruptedException {
         this.wire = wire;
-        this.part = part;
-        this.instead = instead;
+        this.originalText = originalText;
+        this.replacementText = replacementText;
         for (String name : List.of("s-a", "s-b", "s-c")) {
-            databases.add(new ScriptedDatabase(name, name.equals("s-a") ? "read-write" : "read-only", wire, ledger));
+            databases.add(
+                    new ScriptedDatabase(name, name.equals("s-a") ? "read-write" : "read-only", wire, attemptLog));
             states.put(name, "up");
         }
-        discovery = new ScriptedDiscovery(this::list);
+        discovery = new ScriptedDiscovery(this::answerCall);
         writeZone();
         boolean pg = wire instanceof PgTestClient;
         Files.writeString(config, pg ? platformConfig() : operatorFile());
@@ -116,14 +122,15 @@
         Thread.sleep(500);
     }
 
-    /** Discovery is at another place from now on, as the new configuration says; the old one. */
-    ScriptedDiscovery moveDiscovery() throws IOException, InterruptedException {
-        return moveDiscovery(this::list);
+    /** Starts a discovery server on another port, reloads the configuration with it and returns the old server. */
+    ScriptedDiscovery changeDiscoveryAddress() throws IOException, InterruptedException {
+        return changeDiscoveryAddress(this::answerCall);
     }
 
-    ScriptedDiscovery moveDiscovery(ScriptedDiscovery.Lists lists) throws IOException, InterruptedException {
+    ScriptedDiscovery changeDiscoveryAddress(ScriptedDiscovery.ListSource listSource)
+            throws IOException, InterruptedException {
         ScriptedDiscovery old = discovery;
-        discovery = new ScriptedDiscovery(lists);
+        discovery = new ScriptedDiscovery(listSource);
         zoneFile = "moved.zone";
         writeZone();
         reload(wire instanceof PgTestClient ? platformConfig() : operatorFile());
@@ -151,32 +158,32 @@
     }
 
     private int awaitPort() throws IOException, InterruptedException {
-        reader = read(process, log);
-        return portOf(log, 0);
+        logReader = collectLog(process, log);
+        return awaitListenPort(log, 0);
     }
 
-    /** Fills a log that is safe to read meanwhile; ends when the program has. */
-    static Thread read(Process process, List<String> log) {
-        Thread reader = new Thread(
+    /** Collects the output of a process in a thread that ends with it; the log must be safe for concurrent reads. */
+    static Thread collectLog(Process process, List<String> log) {
+        Thread logReader = new Thread(
                 () -> new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))
                         .lines()
                         .forEach(log::add));
-        reader.setDaemon(true);
-        reader.start();
-        return reader;
+        logReader.setDaemon(true);
+        logReader.start();
+        return logReader;
     }
 
-    /** The port of the program's front, of several the one that comes up at that place. */
-    static int portOf(List<String> log, int place) throws IOException, InterruptedException {
+    /** Waits for the program's listener with this index, in the order of start, and returns its port. */
+    static int awaitListenPort(List<String> log, int index) throws IOException, InterruptedException {
         for (int i = 0; i < 1_500; i++) {
-            List<String> fronts =
+            List<String> listeningLines =
                     log.stream().filter(line -> line.contains("listening on")).toList();
-            if (fronts.size() > place) {
-                return Integer.parseInt(fronts.get(place).replaceAll(".*:", ""));
+            if (listeningLines.size() > index) {
+                return Integer.parseInt(listeningLines.get(index).replaceAll(".*:", ""));
             }
             Thread.sleep(20);
         }
-        throw new IOException("not listening: " + log);
+        throw new IOException("did not listen within 30 s: " + log);
     }
 
     private String platformConfig() throws IOException {
@@ -190,18 +197,18 @@
         return Files.readString(OPERATOR_FILE)
                 .replace("127.0.0.1:1433", "127.0.0.1:0")
                 .replace("stations.zone", zoneFile)
-                .replace(part, instead);
+                .replace(originalText, replacementText);
     }
 
-    private String list(String query) throws InterruptedException {
+    private String answerCall(String query) throws InterruptedException {
         int from = query == null ? 0 : Integer.parseInt(query.replaceAll("from=(\\d+).*", "$1"));
-        int hold = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
+        int pollTimeoutMillis = query == null ? 0 : Integer.parseInt(query.replaceAll(".*hold_ms=(\\d+).*", "$1"));
         synchronized (states) {
-            int call = calls++;
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(turnMs + hold);
-            heldUntil = until;
-            pause(turnMs);
-            while (from >= version && System.nanoTime() < until || call < silentBefore) {
+            int call = discoveryCalls++;
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(callDelayMillis + pollTimeoutMillis);
+            watchTimeoutAt = until;
+            pause(callDelayMillis);
+            while (from >= version && System.nanoTime() < until || call < firstAnsweredCall) {
                 pause(50);
             }
             return json(from);
@@ -215,31 +222,33 @@
     }
 
     /**
-     * The open watch falls silent, and another then waits its turn for so long. Returns when what it misses
-     * counts as told, by {@link System#nanoTime}: 6 s from now, or 2 s after its hold.
+     * Leaves the open watch unanswered, and delays each later call by {@code nextCallDelayMillis}. Returns the time, by
+     * {@link System#nanoTime}, from which the changes that this watch misses count as announced: 6 s from now, or 2 s
+     * after the watch's long poll times out if that is later.
      */
-    long silence(int turn) throws InterruptedException {
+    long silenceWatch(int nextCallDelayMillis) throws InterruptedException {
         synchronized (states) {
-            while (heldUntil < System.nanoTime()) {
+            while (watchTimeoutAt < System.nanoTime()) {
                 pause(50);
             }
-            silentBefore = calls;
-            turnMs = turn;
-            return Math.max(System.nanoTime() + TimeUnit.SECONDS.toNanos(6), heldUntil + TimeUnit.SECONDS.toNanos(2));
+            firstAnsweredCall = discoveryCalls;
+            callDelayMillis = nextCallDelayMillis;
+            return Math.max(
+                    System.nanoTime() + TimeUnit.SECONDS.toNanos(6), watchTimeoutAt + TimeUnit.SECONDS.toNanos(2));
         }
     }
 
     private String json(int from) {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < others; i++) {
+        for (int i = 0; i < otherGroupEndpoints; i++) {
             entries.add("{\n  \"id\": \"s-" + (10_000 + i) + "\",\n  \"addr\": \"127.0.0.1:1\",\n"
                     + "  \"zone\": \"ulemiste\",\n  \"cell\": " + (1 + i / 5)
                     + ",\n  \"state\": \"up\",\n  \"started_ms\": 0\n}");
         }
         for (ScriptedDatabase d : databases) {
-            entries.add((spoilt && d.name.equals("s-a") ? "{\"id\":\"s-x\",\"state\":\"odd\"}," : "")
+            entries.add((hasMalformedEntries && d.name.equals("s-a") ? "{\"id\":\"s-x\",\"state\":\"odd\"}," : "")
                     + "{\"id\":\"" + d.name + "\",\"addr\":\"127.0.0.1"
-                    + (isUnreadable(d) ? "" : ":" + d.listener.getLocalPort())
+                    + (lacksPort(d) ? "" : ":" + d.listener.getLocalPort())
                     + "\",\"zone\":\"ulemiste\",\"cell\":0,\"state\":\"" + states.get(d.name)
                     + "\",\"mode\":\"" + d.mode + "\",\"started_ms\":0}");
         }
@@ -247,18 +256,18 @@
                 + "]}";
     }
 
-    private boolean isUnreadable(ScriptedDatabase d) {
-        return spoilt && states.get(d.name).equals("draining");
+    private boolean lacksPort(ScriptedDatabase d) {
+        return hasMalformedEntries && states.get(d.name).equals("draining");
     }
 
     private void writeZone() throws IOException {
         StringBuilder zone = new StringBuilder("$TTL 5\ndb.stations.example. IN A 127.0.0.1\n");
         for (ScriptedDatabase d : databases) {
-            zone.append(spoilt ? "@ IN PTR nowhere._tds._tcp.stations.example.\n" : "")
+            zone.append(hasMalformedEntries ? "@ IN PTR nowhere._tds._tcp.stations.example.\n" : "")
                     .append("@ IN PTR ")
                     .append(d.name)
                     .append("._tds._tcp.stations.example.\n");
-            if (!isUnreadable(d)) {
+            if (!lacksPort(d)) {
                 zone.append(d.name)
                         .append(" IN SRV 0 0 ")
                         .append(d.listener.getLocalPort())
@@ -271,25 +280,28 @@
                     .append(states.get(d.name))
                     .append('\n');
         }
-        Path whole = Files.writeString(folder.resolve("new.zone"), zone);
+        Path newFile = Files.writeString(directory.resolve("new.zone"), zone);
         Files.move(
-                whole, folder.resolve(zoneFile), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+                newFile,
+                directory.resolve(zoneFile),
+                StandardCopyOption.REPLACE_EXISTING,
+                StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Changes the list, and gives the program time to hear of it. */
-    void list(ScriptedDatabase database, String state) throws IOException, InterruptedException {
-        list(Map.of(database.name, state));
+    /** Changes the state of one database in the list, and waits 1 s for the program to receive it. */
+    void publishState(ScriptedDatabase database, String state) throws IOException, InterruptedException {
+        publishStates(Map.of(database.name, state));
     }
 
-    /** Only this database drains; the change is told at once, as above. */
-    void onlyDrains(ScriptedDatabase database) throws IOException, InterruptedException {
+    /** Changes this database to draining and the others to up, in one update of the list; waits as above. */
+    void drainOnly(ScriptedDatabase database) throws IOException, InterruptedException {
         Map<String, String> all = new LinkedHashMap<>();
         databases.forEach(d -> all.put(d.name, d == database ? "draining" : "up"));
-        list(all);
+        publishStates(all);
     }
 
-    /** As above, several at once. */
-    void list(Map<String, String> changed) throws IOException, InterruptedException {
+    /** Changes the states of several databases in one update of the list; waits as above. */
+    void publishStates(Map<String, String> changed) throws IOException, InterruptedException {
         synchronized (states) {
             states.putAll(changed);
             version++;
@@ -301,8 +313,8 @@
 
     Socket connect() throws IOException {
         Socket socket = new Socket();
-        if (receiveBuffer > 0) {
-            socket.setReceiveBufferSize(receiveBuffer);
+        if (receiveBufferBytes > 0) {
+            socket.setReceiveBufferSize(receiveBufferBytes);
         }
         socket.connect(new InetSocketAddress("127.0.0.1", port));
         socket.setTcpNoDelay(true);
@@ -322,18 +334,18 @@
         return databases.subList(1, 3);
     }
 
-    /** Lines of the log at level ERROR; a request's outcome in a line of another level has that name too. */
-    List<String> errors() {
+    /** Log lines at level ERROR; lines at other levels may contain the word as a request's outcome. */
+    List<String> errorLines() {
         return log.stream().filter(line -> line.matches("\\[[^]]*\\] ERROR .*")).toList();
     }
 
-    /** Tells the program to end and waits for that; what it counted, as it says last. */
-    String end() throws IOException, InterruptedException {
+    /** Sends SIGTERM, waits for the program to end and returns the log line with its counters. */
+    String terminate() throws IOException, InterruptedException {
         process.toHandle().destroy();
         if (!process.waitFor(10, TimeUnit.SECONDS)) {
-            throw new IOException("does not end");
+            throw new IOException("the program did not end within 10 s of SIGTERM");
         }
-        reader.join();
+        logReader.join();
         return log.stream()
                 .filter(line -> line.contains("counters: "))
                 .findAny()
--- a/src/test/java/crankwick/app/DrainsIT.java
+++ b/src/test/java/crankwick/app/DrainsIT.java
@@ -9,65 +9,65 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** What the list of databases says is honoured, whatever becomes of it on its way, on both wires. */
-public class DrainsIT extends OnBothWires {
+/** Drains in the endpoint list take effect despite faults in its delivery, on both protocols. */
+public class DrainsIT extends BothWiresFixture {
     @Test(dataProvider = "wires")
-    public void drainingReplicaGetsNothingNew(TestWireClient wire) throws Exception {
+    public void drainingReplicaGetsNoNewRequests(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             ScriptedDatabase draining = d.replicas().get(0);
-            client.ask(statement("map-view", 1000, ""));
-            d.list(draining, "draining");
+            client.execute(statement("map-view", 1000, ""));
+            d.publishState(draining, "draining");
             Thread.sleep(1_000);
-            int before = d.ledger.at(draining.name).size();
+            int before = d.attemptLog.attemptsAt(draining.name).size();
             for (int i = 0; i < 20; i++) {
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
-            assertEquals(d.ledger.at(draining.name).size(), before);
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(draining.name).size(), before);
+            assertNoViolations(d);
         }
     }
 
-    /** Lists are pushed, says the file, and entries can't be read in part: no drain is missed for either. */
+    /** Endpoint lists configured as pushed, with partly invalid entries: the drain takes effect. */
     @Test(dataProvider = "wires")
-    public void drainsOfPushedAndOfPartlySpoiltListsAreHeard(TestWireClient wire) throws Exception {
+    public void drainsInPushedOrPartlyInvalidListsTakeEffect(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "\"ask\"", "\"push\"");
                 Deployment.Client client = d.client()) {
-            ScriptedDatabase draining = lastServing(d, client);
-            d.spoilt = true;
-            d.list(draining, "draining");
+            ScriptedDatabase draining = replicaServingReads(d, client);
+            d.hasMalformedEntries = true;
+            d.publishState(draining, "draining");
             for (int i = 0; i < 20; i++) {
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
             }
-            assertEquals(d.ledger.at(draining.name).size(), 1);
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(draining.name).size(), 1);
+            assertNoViolations(d);
         }
     }
 
-    /** A connection comes up late, its database begins to drain meanwhile: the write goes to the next. */
+    /** A database begins to drain while its connection is being established: the write goes to the new primary. */
     @Test(dataProvider = "wires")
-    public void sendThatHasNotBegunIsDecidedAnewWhenItsDatabaseDrains(TestWireClient wire) throws Exception {
+    public void unsentAttemptIsReroutedWhenItsDatabaseDrains(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire, "connect-timeout-ms = 250.0", "connect-timeout-ms = 9000.0");
                 Deployment.Client client = d.client()) {
             ScriptedDatabase old = d.primary();
-            old.greetMs = 3_000;
+            old.greetingDelayMillis = 3_000;
             client.send(statement("reserve", 9_000, ""));
-            while (old.opened.get() == 0) {
+            while (old.openedConnections.get() == 0) {
                 Thread.sleep(5);
             }
             old.mode = "read-only";
             d.replicas().get(0).mode = "read-write";
-            d.list(old, "draining");
-            served(client.answer(), "s-b");
+            d.publishState(old, "draining");
+            assertServedBy(client.readAnswer(), "s-b");
             Thread.sleep(2_500);
-            assertEquals(d.ledger.at(old.name), List.of());
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(old.name), List.of());
+            assertNoViolations(d);
         }
     }
 
-    /** The replica that reads go to: what they would do if they did not hear that it drains. */
-    private ScriptedDatabase lastServing(Deployment d, Deployment.Client client) throws IOException {
-        TestWireClient.Answer answer = client.ask(statement("map-view", 1000, ""));
+    /** The replica that serves reads now, and would continue to serve them if its drain had no effect. */
+    private ScriptedDatabase replicaServingReads(Deployment d, Deployment.Client client) throws IOException {
+        TestWireClient.Answer answer = client.execute(statement("map-view", 1000, ""));
         return d.replicas().stream()
                 .filter(r -> answer.value().startsWith(r.name))
                 .findAny()
@@ -75,127 +75,131 @@
     }
 
     /**
-     * The operators' hard case: the open watch falls silent, databases begin to drain, and discovery has so
-     * many callers then that the watch opened anew waits 2 s for its turn.
+     * The open watch stops responding, databases begin to drain, and discovery is so loaded that it delays the
+     * replacement watch by 2 s.
      */
     @Test
-    public void drainMissedByASilentWatchIsHonouredInTime() throws Exception {
+    public void drainMissedByASilentWatchTakesEffectInTime() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            long latest = d.silence(2_000) + TimeUnit.MILLISECONDS.toNanos(2_000 + 50);
+            long honorBy = d.silenceWatch(2_000) + TimeUnit.MILLISECONDS.toNanos(2_000 + 50);
             for (ScriptedDatabase replica : d.replicas()) {
-                d.list(replica, "draining");
+                d.publishState(replica, "draining");
             }
-            while (System.nanoTime() < latest + TimeUnit.SECONDS.toNanos(1)) {
-                assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED");
+            while (System.nanoTime() < honorBy + TimeUnit.SECONDS.toNanos(1)) {
+                assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED");
                 Thread.sleep(20);
             }
-            List<ScriptedDatabase.Seen> after =
-                    d.ledger.seen.stream().filter(seen -> seen.at() > latest).toList();
+            List<ScriptedDatabase.Attempt> after = d.attemptLog.attempts.stream()
+                    .filter(seen -> seen.receivedAt() > honorBy)
+                    .toList();
             assertTrue(
                     !after.isEmpty() && after.stream().allMatch(s -> s.server().equals("s-a")), after.toString());
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    /** Guards against SIGHUP ending the program, and against a list that is no longer heard after it. */
+    /** Guards against SIGHUP terminating the process, and against missing endpoint updates after a reload. */
     @Test(dataProvider = "wires")
-    public void reloadMovesTheWatchAndSurvivesAnUnreadableFile(TestWireClient wire) throws Exception {
+    public void reloadChangesTheDiscoveryAddressAndIgnoresAnInvalidFile(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client client = d.client()) {
             d.reload("{ \"discovery\": ");
-            served(client.ask(statement("reserve", 3000, "")), "s-a");
-            d.moveDiscovery().close();
-            d.list(d.replicas().get(0), "draining");
+            assertServedBy(client.execute(statement("reserve", 3000, "")), "s-a");
+            d.changeDiscoveryAddress().close();
+            d.publishState(d.replicas().get(0), "draining");
             for (int i = 0; i < 20; i++) {
-                served(client.ask(statement("map-view", 1000, "")), "s-c");
+                assertServedBy(client.execute(statement("map-view", 1000, "")), "s-c");
             }
-            d.moveDiscovery().close();
-            d.list(d.replicas().get(0), "up");
-            d.list(d.replicas().get(1), "draining");
-            served(client.ask(statement("map-view", 1000, "")), "s-b");
-            kept(d);
+            d.changeDiscoveryAddress().close();
+            d.publishState(d.replicas().get(0), "up");
+            d.publishState(d.replicas().get(1), "draining");
+            assertServedBy(client.execute(statement("map-view", 1000, "")), "s-b");
+            assertNoViolations(d);
         }
     }
 
     /**
-     * The hard case: a reservation is out at its primary when that drains and hands over. It has one answer,
-     * from the one attempt that it had, and what comes after goes to the new primary alone.
+     * A write is in flight when its primary drains and hands over its role. The only attempt is answered, and later
+     * writes go to the new primary only.
      */
     @Test(dataProvider = "wires")
-    public void reservationInFlightOutlivesItsPrimarysDrain(TestWireClient wire) throws Exception {
+    public void writeInFlightIsAnsweredWhileItsPrimaryDrains(TestWireClient wire) throws Exception {
         try (Deployment d = new Deployment(wire);
                 Deployment.Client first = d.client();
                 Deployment.Client later = d.client()) {
             ScriptedDatabase old = d.primary();
-            assertEquals(first.ask(statement("reserve", 3000, "")).value(), "s-a:" + id());
-            old.delayMs = 2_000;
+            assertEquals(first.execute(statement("reserve", 3000, "")).value(), "s-a:" + lastId());
+            old.delayMillis = 2_000;
             first.send(statement("reserve", 10_000, ""));
-            String inFlight = id();
+            String inFlight = lastId();
             Thread.sleep(300);
             old.mode = "read-only";
             d.databases.get(1).mode = "read-write";
-            d.list(old, "draining");
-            assertEquals(d.ledger.sent(inFlight), 1);
-            assertEquals(first.answer().value(), "s-a:" + inFlight);
-            int before = d.ledger.at(old.name).size();
+            d.publishState(old, "draining");
+            assertEquals(d.attemptLog.countAttempts(inFlight), 1);
+            assertEquals(first.readAnswer().value(), "s-a:" + inFlight);
+            int before = d.attemptLog.attemptsAt(old.name).size();
             for (int i = 0; i < 5; i++) {
-                assertEquals(later.ask(statement("reserve", 3000, "")).value(), "s-b:" + id());
+                assertEquals(later.execute(statement("reserve", 3000, "")).value(), "s-b:" + lastId());
             }
-            assertEquals(d.ledger.at(old.name).size(), before);
-            assertEquals(d.ledger.sent(inFlight), 1);
-            kept(d);
+            assertEquals(d.attemptLog.attemptsAt(old.name).size(), before);
+            assertEquals(d.attemptLog.countAttempts(inFlight), 1);
+            assertNoViolations(d);
         }
     }
 
-    /** Discovery moves while its last answer is on its way: it was told, though the new one is silent. */
+    /**
+     * The discovery address changes while a response from the old address is being received. That response is applied,
+     * although the new address does not respond.
+     */
     @Test
-    public void answerOnItsWayWhenTheWatchMovesIsHeard() throws Exception {
+    public void responseInProgressWhenTheDiscoveryAddressChangesIsApplied() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
-            d.discovery.pauseMs = 3_000;
-            d.list(Map.of("s-b", "draining", "s-c", "draining"));
-            ScriptedDiscovery old = d.moveDiscovery(query -> {
+            d.discovery.midResponsePauseMillis = 3_000;
+            d.publishStates(Map.of("s-b", "draining", "s-c", "draining"));
+            ScriptedDiscovery old = d.changeDiscoveryAddress(query -> {
                 Thread.sleep(60_000);
                 return "";
             });
             Thread.sleep(2_000);
             for (int i = 0; i < 20; i++) {
-                served(client.ask(statement("map-view", 1000, "")), "s-a");
+                assertServedBy(client.execute(statement("map-view", 1000, "")), "s-a");
             }
             old.close();
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    /** Answers of all forms are read; what is no list is asked for again, and undoes nothing told. */
+    /** Complete responses of each form are applied; after an invalid one the list is kept and requested again. */
     @Test
-    public void answersOfAllFormsAreReadOrAskedForAgain() throws Exception {
+    public void responsesOfAllFormsAreAppliedOrRequestedAgain() throws Exception {
         try (Deployment d = new Deployment(new PgTestClient());
                 Deployment.Client client = d.client()) {
             ScriptedDatabase before = d.primary();
-            for (ScriptedDiscovery.Form form : ScriptedDiscovery.Form.values()) {
+            for (ScriptedDiscovery.ResponseForm form : ScriptedDiscovery.ResponseForm.values()) {
                 ScriptedDatabase draining = d.replicas().get(form.ordinal() % 2);
-                d.discovery.form = form;
-                d.onlyDrains(draining);
-                if (!form.isWhole()) {
-                    assertNoneAt(before, d, client, form);
-                    d.discovery.form = ScriptedDiscovery.Form.WITH_LENGTH;
+                d.discovery.responseForm = form;
+                d.drainOnly(draining);
+                if (!form.isComplete()) {
+                    assertNoNewAttemptsAt(before, d, client, form);
+                    d.discovery.responseForm = ScriptedDiscovery.ResponseForm.CONTENT_LENGTH;
                     Thread.sleep(1_000);
                 }
-                assertNoneAt(draining, d, client, form);
+                assertNoNewAttemptsAt(draining, d, client, form);
                 before = draining;
             }
-            kept(d);
+            assertNoViolations(d);
         }
     }
 
-    private void assertNoneAt(ScriptedDatabase draining, Deployment d, Deployment.Client client, Object when)
+    private void assertNoNewAttemptsAt(ScriptedDatabase draining, Deployment d, Deployment.Client client, Object when)
             throws IOException {
-        int before = d.ledger.at(draining.name).size();
+        int before = d.attemptLog.attemptsAt(draining.name).size();
         for (int i = 0; i < 20; i++) {
-            assertEquals(client.ask(statement("map-view", 1000, "")).kind(), "SERVED", when + " " + d.log);
+            assertEquals(client.execute(statement("map-view", 1000, "")).kind(), "SERVED", when + " " + d.log);
         }
-        assertEquals(d.ledger.at(draining.name).size(), before, when + " " + d.log);
+        assertEquals(d.attemptLog.attemptsAt(draining.name).size(), before, when + " " + d.log);
     }
 }
--- a/src/test/java/crankwick/app/ScriptedDatabase.java
+++ b/src/test/java/crankwick/app/ScriptedDatabase.java
@@ -14,92 +14,94 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A small database: answers as it is told to, and notes what it was sent and when. */
+/** A loopback database that replies as its fields say and records the statements that it receives. */
 final class ScriptedDatabase extends LoopbackServer {
-    /** What a database was sent: the request's id and when its last byte had come. */
-    record Seen(String server, String id, String statement, long at) {}
+    /** A statement that a database received, with the request's id and the time when it was complete. */
+    record Attempt(String server, String id, String statement, long receivedAt) {}
 
-    /** What all the databases of a test have seen; the rules are read off it. */
-    static final class Ledger {
-        final List<Seen> seen = new CopyOnWriteArrayList<>();
-        final List<String> broken = new CopyOnWriteArrayList<>();
-        /** Values whose copy the machine held up past the time within which a copy must come to light. */
-        final Set<String> lateCopies = ConcurrentHashMap.newKeySet();
+    /** The attempts that the databases of a test have received, and the violations that they found. */
+    static final class AttemptLog {
+        final List<Attempt> attempts = new CopyOnWriteArrayList<>();
+        final List<String> violations = new CopyOnWriteArrayList<>();
+        /** Values with a copy that a busy machine delayed beyond the time within which the proxy must detect it. */
+        final Set<String> delayedCopies = ConcurrentHashMap.newKeySet();
 
         private final Set<String> inFlight = ConcurrentHashMap.newKeySet();
 
-        long sent(String id) {
-            return seen.stream().filter(s -> s.id().equals(id)).count();
+        long countAttempts(String id) {
+            return attempts.stream().filter(s -> s.id().equals(id)).count();
         }
 
-        List<Seen> at(String server) {
-            return seen.stream().filter(s -> s.server().equals(server)).toList();
+        List<Attempt> attemptsAt(String server) {
+            return attempts.stream().filter(s -> s.server().equals(server)).toList();
         }
     }
 
-    /** A proxy rests a connection for 10 ms after an answer; a copy that left by then must not be taken. */
-    private static final long COPY_BY = TimeUnit.MILLISECONDS.toNanos(8);
+    /** The proxy reuses a connection 10 ms after an answer at the earliest, and must not serve copies sent by then. */
+    private static final long MAX_COPY_DELAY = TimeUnit.MILLISECONDS.toNanos(8);
 
     final String name;
     volatile String mode;
     /**
-     * VALUE, MISS, FULL, ERROR, SILENT (no answer at all), BREAK (the connection ends instead), SPOILT (every
-     * third, one way after the other), TWICE (the value, right behind it a copy, every second time with the
-     * same write), HALVES (the value in two parts, each once {@link #halves} lets it go) or NO REPORT (unreadable).
+     * The reply to a statement. VALUE, or the errors STALE, OVERLOADED and ERROR; NO_REPLY: none is sent; DISCONNECT:
+     * the connection is closed instead; MALFORMED: every third reply is malformed, in each of the wire's ways in turn;
+     * DUPLICATE: the value and a copy of it, in alternation in one write and in two; SPLIT: the value in two halves,
+     * each after a permit of {@link #splitPermits}; INVALID_REPORT: the value with a load report that can't be parsed.
      */
-    volatile String word = "VALUE";
+    volatile String replyKind = "VALUE";
 
-    final Semaphore halves = new Semaphore(0);
-    private int answers;
-    volatile int delayMs;
-    /** A value has so many characters before it. */
-    volatile int padding;
+    final Semaphore splitPermits = new Semaphore(0);
+    private int answerCount;
+    volatile int delayMillis;
+    /** Number of characters that precede each value. */
+    volatile int paddingChars;
 
-    /** A new connection is greeted after so long. */
-    volatile int greetMs;
-    /** A new connection is greeted once this is open; how many were. */
-    volatile CountDownLatch greeting = new CountDownLatch(0);
+    /** Delay before the login on a new connection is accepted. */
+    volatile int greetingDelayMillis;
+    /** Logins on new connections are accepted once this opens. */
+    volatile CountDownLatch greetingLatch = new CountDownLatch(0);
 
-    final AtomicInteger greeted = new AtomicInteger();
-    /** Every fifth new connection is reset, and what had been answered on is reset by the next statement. */
-    volatile boolean resets;
+    /** Number of connections whose login has been accepted. */
+    final AtomicInteger greetedConnections = new AtomicInteger();
+    /** Resets every fifth new connection, and every other connection when its second statement arrives. */
+    volatile boolean resetsConnections;
 
     private int accepted;
-    /** Connections that ever came up. */
-    final AtomicInteger opened = new AtomicInteger();
-    /** Connections idle for so long are ended, as databases do. */
-    volatile int idleMs;
+    /** Number of connections ever accepted and not reset at once. */
+    final AtomicInteger openedConnections = new AtomicInteger();
+    /** Connections idle for this long are closed, as databases do; 0 for no limit. */
+    volatile int idleTimeoutMillis;
 
     private final TestWireClient wire;
-    private final Ledger ledger;
+    private final AttemptLog attemptLog;
 
-    ScriptedDatabase(String name, String mode, TestWireClient wire, Ledger ledger) throws IOException {
+    ScriptedDatabase(String name, String mode, TestWireClient wire, AttemptLog attemptLog) throws IOException {
         this.name = name;
         this.mode = mode;
         this.wire = wire;
-        this.ledger = ledger;
+        this.attemptLog = attemptLog;
         start();
     }
 
     @Override
     void serve(Socket socket) throws IOException, InterruptedException {
         DataInputStream in = new DataInputStream(socket.getInputStream());
-        if (resets && accepted++ % 5 == 4) {
+        if (resetsConnections && accepted++ % 5 == 4) {
             socket.setSoLinger(true, 0);
             return;
         }
-        opened.incrementAndGet();
-        Thread.sleep(greetMs);
-        greeting.await();
-        wire.greet(socket, in);
-        greeted.incrementAndGet();
-        for (int asked = 0; ; asked++) {
-            socket.setSoTimeout(idleMs);
-            String statement = wire.statement(in);
+        openedConnections.incrementAndGet();
+        Thread.sleep(greetingDelayMillis);
+        greetingLatch.await();
+        wire.acceptLogin(socket, in);
+        greetedConnections.incrementAndGet();
+        for (int statements = 0; ; statements++) {
+            socket.setSoTimeout(idleTimeoutMillis);
+            String statement = wire.readStatement(in);
             if (statement == null) {
                 return;
             }
-            if (resets && asked > 0) {
+            if (resetsConnections && statements > 0) {
                 socket.setSoLinger(true, 0);
                 return;
             }
@@ -111,34 +113,34 @@
     }
 
     private boolean answerProbe(Socket socket) throws IOException {
-        if (!word.equals("SILENT")) {
-            socket.getOutputStream().write(wire.reply(verdict("VALUE", ""), true));
+        if (!replyKind.equals("NO_REPLY")) {
+            socket.getOutputStream().write(wire.encodeReply(reply("VALUE", ""), true));
         }
         return true;
     }
 
     private boolean answer(Socket socket, DataInputStream in, String statement) throws IOException {
-        long at = System.nanoTime();
+        long receivedAt = System.nanoTime();
         String id = statement.replaceAll("(?s).*?id=([^, ]*).*", "$1");
-        ledger.seen.add(new Seen(name, id, statement, at));
-        if (!ledger.inFlight.add(id)) {
-            ledger.broken.add("two attempts of " + id + " in flight");
+        attemptLog.attempts.add(new Attempt(name, id, statement, receivedAt));
+        if (!attemptLog.inFlight.add(id)) {
+            attemptLog.violations.add("two attempts of " + id + " in flight");
         }
         try {
-            String verdict = word;
-            int wait = verdict.equals("SILENT") ? 60_000 : delayMs;
-            if (wait > 0 && !stays(socket, in, wait) || verdict.equals("BREAK")) {
+            String kind = replyKind;
+            int wait = kind.equals("NO_REPLY") ? 60_000 : delayMillis;
+            if (wait > 0 && !staysOpen(socket, in, wait) || kind.equals("DISCONNECT")) {
                 return false;
             }
-            ledger.inFlight.remove(id);
-            long from = System.nanoTime();
-            for (byte[] part : parts(verdict, verdict(verdict, "v".repeat(padding) + name + ":" + id))) {
-                if (verdict.equals("HALVES")) {
-                    halves.acquire();
+            attemptLog.inFlight.remove(id);
+            long replyStart = System.nanoTime();
+            for (byte[] part : replyParts(kind, reply(kind, "v".repeat(paddingChars) + name + ":" + id))) {
+                if (kind.equals("SPLIT")) {
+                    splitPermits.acquire();
                 }
                 socket.getOutputStream().write(part);
-                if (System.nanoTime() - from > COPY_BY) {
-                    ledger.lateCopies.add(name + ":" + id);
+                if (System.nanoTime() - replyStart > MAX_COPY_DELAY) {
+                    attemptLog.delayedCopies.add(name + ":" + id);
                 }
                 Thread.sleep(1);
             }
@@ -146,41 +148,41 @@
         } catch (InterruptedException e) {
             return false;
         } finally {
-            ledger.inFlight.remove(id);
+            attemptLog.inFlight.remove(id);
         }
     }
 
-    private synchronized List<byte[]> parts(String instead, TestWireClient.Verdict verdict) {
-        byte[][] spoilt = wire.spoilt(verdict);
-        if (instead.equals("SPOILT") && answers++ % 3 == 2) {
-            return List.of(spoilt[answers / 3 % spoilt.length]);
+    private synchronized List<byte[]> replyParts(String kind, TestWireClient.DatabaseReply reply) {
+        byte[][] malformed = wire.malformedReplies(reply);
+        if (kind.equals("MALFORMED") && answerCount++ % 3 == 2) {
+            return List.of(malformed[answerCount / 3 % malformed.length]);
         }
-        byte[] whole = wire.reply(verdict, false);
-        if (instead.equals("HALVES")) {
-            int half = whole.length / 2;
-            return List.of(Arrays.copyOf(whole, half), Arrays.copyOfRange(whole, half, whole.length));
+        byte[] encoded = wire.encodeReply(reply, false);
+        if (kind.equals("SPLIT")) {
+            int half = encoded.length / 2;
+            return List.of(Arrays.copyOf(encoded, half), Arrays.copyOfRange(encoded, half, encoded.length));
         }
-        if (!instead.equals("TWICE")) {
-            return List.of(whole);
+        if (!kind.equals("DUPLICATE")) {
+            return List.of(encoded);
         }
-        byte[] both = Arrays.copyOf(whole, 2 * whole.length);
-        System.arraycopy(whole, 0, both, whole.length, whole.length);
-        return answers++ % 2 == 0 ? List.of(both) : List.of(whole, whole);
+        byte[] both = Arrays.copyOf(encoded, 2 * encoded.length);
+        System.arraycopy(encoded, 0, both, encoded.length, encoded.length);
+        return answerCount++ % 2 == 0 ? List.of(both) : List.of(encoded, encoded);
     }
 
-    /** One that turns reads away is behind, and says so. */
-    private TestWireClient.Verdict verdict(String answer, String value) {
-        long behind = word.equals("MISS") ? 10_000 : 0;
+    /** A database that rejects reads as stale reports a position 10 s in the past. */
+    private TestWireClient.DatabaseReply reply(String kind, String value) {
+        long behind = replyKind.equals("STALE") ? 10_000 : 0;
         long position = System.currentTimeMillis() - behind;
-        return switch (answer) {
-            case "NO REPORT" -> new TestWireClient.Verdict("VALUE", value, mode, position, "x0=9e99,x1=\1");
-            case "TWICE", "SPOILT", "HALVES" -> new TestWireClient.Verdict("VALUE", value, mode, position);
-            default -> new TestWireClient.Verdict(answer, value, mode, position);
+        return switch (kind) {
+            case "INVALID_REPORT" -> new TestWireClient.DatabaseReply("VALUE", value, mode, position, "x0=9e99,x1=\1");
+            case "DUPLICATE", "MALFORMED", "SPLIT" -> new TestWireClient.DatabaseReply("VALUE", value, mode, position);
+            default -> new TestWireClient.DatabaseReply(kind, value, mode, position);
         };
     }
 
-    /** Waits; false if the proxy ends the connection meanwhile. */
-    private static boolean stays(Socket socket, DataInputStream in, int millis) throws IOException {
+    /** Waits; returns false if the proxy closes the connection meanwhile. */
+    private static boolean staysOpen(Socket socket, DataInputStream in, int millis) throws IOException {
         socket.setSoTimeout(millis);
         try {
             return in.read() >= 0;
--- a/src/test/java/crankwick/app/TestWireClient.java
+++ b/src/test/java/crankwick/app/TestWireClient.java
@@ -4,44 +4,50 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** A protocol as the tests speak it: as a client, and as a database. */
+/** A wire protocol as the tests implement it, on the client's and on the database's side. */
 interface TestWireClient {
-    /** How a request was answered: SERVED, REFUSED, FAILED, CLOSED; the number or code, if there is one. */
+    /**
+     * The answer to a request. Its kind is SERVED, REFUSED, FAILED, EMPTY (no value, no error), CLOSED (the proxy has
+     * closed the connection) or ATTENTION (TDS only); the code is the error code, if any.
+     */
     record Answer(String kind, String code, String value, long retryAfter) {
         static final Answer CLOSED = new Answer("CLOSED", "", null, 0);
     }
 
-    /** What a database answers: a value, or one of the words MISS, FULL, ERROR; its position as Unix time. */
-    record Verdict(String word, String value, String mode, long position, String report) {
-        Verdict(String word, String value, String mode, long position) {
-            this(word, value, mode, position, "x0=" + position / 1e3 + ",x1=" + (mode.equals("read-write") ? 1 : 0));
+    /**
+     * A reply of a database. Its kind is VALUE, STALE, OVERLOADED or ERROR; the position is the replication position as
+     * Unix time in ms.
+     */
+    record DatabaseReply(String kind, String value, String mode, long position, String report) {
+        DatabaseReply(String kind, String value, String mode, long position) {
+            this(kind, value, mode, position, "x0=" + position / 1e3 + ",x1=" + (mode.equals("read-write") ? 1 : 0));
         }
     }
 
-    /** Logs in as a client; null if the login is turned away. */
+    /** Logs in as a client; throws EOFException if the login is refused. */
     void login(Socket socket, String team) throws IOException;
 
-    void ask(Socket socket, String statement) throws IOException;
+    void send(Socket socket, String statement) throws IOException;
 
-    /** The bytes of a command, less so many at the end. */
-    byte[] command(String statement, int less);
+    /** The bytes of a command without the last {@code omittedBytes}. */
+    byte[] encodeCommand(String statement, int omittedBytes);
 
-    Answer answer(DataInputStream in) throws IOException;
+    Answer readAnswer(DataInputStream in) throws IOException;
 
-    /** Takes a proxy's login as a database. */
-    void greet(Socket socket, DataInputStream in) throws IOException;
+    /** Accepts a proxy's login as a database. */
+    void acceptLogin(Socket socket, DataInputStream in) throws IOException;
 
-    /** The next statement that a proxy sends; null at the end. */
-    String statement(DataInputStream in) throws IOException;
+    /** The next statement that a proxy sends; null once the proxy sends no more. */
+    String readStatement(DataInputStream in) throws IOException;
 
-    /** True if the statement is a probe. */
+    /** True if the statement is a health check. */
     boolean isProbe(String statement);
 
-    byte[] reply(Verdict verdict, boolean probe);
+    byte[] encodeReply(DatabaseReply databaseReply, boolean probe);
 
-    /** What a database may send instead of the answer that serves a value: none of it serves anything. */
-    byte[][] spoilt(Verdict verdict);
+    /** Malformed variants of a reply with a value; the proxy must not serve a value from any of them. */
+    byte[][] malformedReplies(DatabaseReply databaseReply);
 
-    /** Bytes that no peer should send. */
-    byte[][] nonsense();
+    /** Inputs that violate the protocol. */
+    byte[][] invalidInputs();
 }
--- a/src/test/java/crankwick/routing/FaultToleranceTest.java
+++ b/src/test/java/crankwick/routing/FaultToleranceTest.java
@@ -12,30 +12,30 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that lose responses: selection, ejection and retries. */
+/** Tests selection, ejection and retries when endpoints lose responses. */
 class FaultToleranceTest {
     @Test
     void repeatedTimeoutsLowerTheSelectionWeight() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
         for (int i = 0; i < 4; i++) {
             harness.handle(new HealthCheckResult("r1", AttemptResult.TIMEOUT, 250 * MICROS_PER_MILLI, null));
         }
         harness.reportHealth("r1", Role.REPLICA, harness.now);
         harness.reportHealth("r2", Role.REPLICA, harness.now);
-        int first = 0;
+        int readsSentToR1 = 0;
         for (int i = 0; i < 100; i++) {
             long read = harness.request(RouterTestHarness.EVENTUAL_READ);
-            first += "r1".equals(harness.sentTo(read)) ? 1 : 0;
+            readsSentToR1 += "r1".equals(harness.sentTo(read)) ? 1 : 0;
             harness.succeed(read);
         }
-        assertTrue(first < 20, "r1 got " + first + " of 100");
+        assertTrue(readsSentToR1 < 20, "r1 got " + readsSentToR1 + " of 100 reads");
     }
 
     @Test
-    void oneTimeoutDoesNotEject() {
-        RouterTestHarness harness = RouterTestHarness.withProxies(300);
-        harness.respondsToHealthChecks("r1", Role.REPLICA);
-        harness.respondsToHealthChecks("r2", Role.REPLICA);
+    void singleTimeoutDoesNotEject() {
+        RouterTestHarness harness = RouterTestHarness.withProxyCount(300);
+        harness.autoRespondToHealthChecks("r1", Role.REPLICA);
+        harness.autoRespondToHealthChecks("r2", Role.REPLICA);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.advance(1_900 * MICROS_PER_MILLI);
         harness.endAttempt(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
@@ -43,13 +43,13 @@
     }
 
     @Test
-    void lostReadsAreRetriedWithinTheBudgetAndWritesNever() {
-        // Where most endpoints lose responses but pass health checks, waiting on misses the latency objective.
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+    void lostReadsAreRetriedWithinBudgetAndWritesAreNotRetried() {
+        // If most endpoints lose responses but pass health checks, waiting for a response misses the latency objective.
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         for (String endpoint : List.of("r1", "r2")) {
-            harness.respondsToHealthChecks(endpoint, Role.REPLICA);
+            harness.autoRespondToHealthChecks(endpoint, Role.REPLICA);
         }
-        harness.respondsToHealthChecks("p", Role.PRIMARY);
+        harness.autoRespondToHealthChecks("p", Role.PRIMARY);
         for (int i = 0; i < 300; i++) {
             harness.succeed(harness.request(RouterTestHarness.EVENTUAL_READ));
             harness.now += 20 * MICROS_PER_MILLI;
@@ -69,7 +69,7 @@
             }
             harness.endAttempt(read, AttemptResult.OK, Role.UNKNOWN, AbsentValue.NONE);
         }
-        assertTrue(cancelledReads > 10 && cancelledReads <= 30 + 80 / 4, "within the budget: " + cancelledReads);
+        assertTrue(cancelledReads > 10 && cancelledReads <= 30 + 80 / 4, "cancelled reads: " + cancelledReads);
         assertFalse(harness.isCancelled(write));
         assertEquals(1, harness.attempts(write));
         assertFalse(harness.actions.stream().anyMatch(a -> a.contains("ejected")));
--- a/src/test/java/crankwick/routing/RetryPolicyTest.java
+++ b/src/test/java/crankwick/routing/RetryPolicyTest.java
@@ -12,7 +12,7 @@
 import crankwick.routing.api.RoutingSettings;
 import org.junit.jupiter.api.Test;
 
-/** Which requests may be retried, and the retry budget. */
+/** Retry eligibility and the retry budget. */
 class RetryPolicyTest {
     private static final long NOW = 1_000_000_000L;
     private static final long KEY_TTL = 500_000;
@@ -29,11 +29,11 @@
     }
 
     @Test
-    void possiblyExecutedWriteIsRetriedOnlyWhileItsKeyIsKept() {
+    void possiblyExecutedWriteIsRetriedOnlyWithinItsKeyTtl() {
         PendingRequest write = request();
         write.startAttempt(endpoint, Long.MAX_VALUE, NOW);
         write.recordPossibleExecution(endpoint);
-        assertFalse(policy.isSafeToReject(write), "its key is deduplicated within the group only");
+        assertFalse(policy.isSafeToReject(write), "the idempotency key is deduplicated within the group only");
         assertTrue(policy.isSafeToExecuteAt(write, endpoint, NOW + KEY_TTL - 1));
         assertFalse(policy.isSafeToExecuteAt(write, endpoint, NOW + KEY_TTL));
     }
@@ -42,30 +42,30 @@
     void attemptsAreLimitedPerRequest() {
         PendingRequest request = request();
         for (int i = 0; i < settings.limits().maxAttempts(); i++) {
-            assertTrue(policy.tryRetry(request, AttemptResult.ERROR, NOW));
+            assertTrue(policy.tryAcquireRetry(request, AttemptResult.ERROR, NOW));
             request.startAttempt(endpoint, Long.MAX_VALUE, NOW);
         }
-        assertFalse(policy.tryRetry(request, AttemptResult.ERROR, NOW));
+        assertFalse(policy.tryAcquireRetry(request, AttemptResult.ERROR, NOW));
     }
 
     @Test
-    void retriesAreEarnedByRequestsButFreeWhereNothingFailed() {
+    void retriesUseTheBudgetUnlessTheResultIsExempt() {
         int retries = 0;
-        while (policy.tryRetry(request(), AttemptResult.ERROR, NOW)) {
+        while (policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW)) {
             retries++;
         }
         assertEquals(30, retries);
-        assertTrue(policy.tryRetry(request(), AttemptResult.INELIGIBLE_REPLICA, NOW));
+        assertTrue(policy.tryAcquireRetry(request(), AttemptResult.INELIGIBLE_REPLICA, NOW));
         for (int i = 0; i < 4; i++) {
-            assertFalse(policy.tryRetry(request(), AttemptResult.ERROR, NOW));
-            policy.earnForRequest();
+            assertFalse(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW));
+            policy.depositForRequest();
         }
-        assertTrue(policy.tryRetry(request(), AttemptResult.ERROR, NOW));
+        assertTrue(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW));
     }
 
     @Test
-    void noRetryBeginsShortlyBeforeTheDeadline() {
-        assertFalse(policy.tryRetry(request(), AttemptResult.ERROR, NOW + 2_970_000));
-        assertTrue(policy.tryRetry(request(), AttemptResult.ERROR, NOW + 2_969_999));
+    void noRetryStartsWithinTheResponseMarginBeforeTheDeadline() {
+        assertFalse(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW + 2_970_000));
+        assertTrue(policy.tryAcquireRetry(request(), AttemptResult.ERROR, NOW + 2_969_999));
     }
 }
--- a/src/test/java/crankwick/routing/RoutingRulesTest.java
+++ b/src/test/java/crankwick/routing/RoutingRulesTest.java
@@ -31,25 +31,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The rules that hold in every run, one by one. */
+/** Routing invariants: retries, cancellation, endpoint eligibility and slow start. */
 class RoutingRulesTest {
-    /** Guards against memory that grows with every endpoint ever listed and every group ever requested. */
+    /** Guards against a memory leak: state kept for every endpoint ever listed and every group ever requested. */
     @Test
     void expiredEndpointsAndUnknownGroupsAreNotRetained() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         for (int i = 0; i < 200; i++) {
             harness.updateEndpoint("s" + i, EndpointStatus.LIVE, 0);
             harness.updateEndpoint("s" + (i - 3), EndpointStatus.REMOVED, 0);
             assertTrue(harness.isRejected(harness.requestToGroup(1_000 + i, RouterTestHarness.BOUNDED_READ)));
             harness.advance(1_000 * MICROS_PER_MILLI);
         }
-        assertTrue(harness.router.known() < 50, "retained: " + harness.router.known());
+        assertTrue(harness.router.retainedStateCount() < 50, "retained: " + harness.router.retainedStateCount());
     }
 
     @ParameterizedTest
     @EnumSource(value = AttemptResult.class, names = "OK", mode = EnumSource.Mode.EXCLUDE)
     void nonIdempotentWriteIsRetriedOrRejectedOnlyIfNotExecuted(AttemptResult result) {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long write = harness.request(RouterTestHarness.WRITE);
         harness.endAttempt(write, result, Role.UNKNOWN, AbsentValue.NONE);
         harness.advance(3_000 * MICROS_PER_MILLI);
@@ -64,11 +64,11 @@
     }
 
     @Test
-    void possiblyExecutedWriteWithKeyIsNeverRejectedUnderNarrowScope() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+    void possiblyExecutedWriteWithKeyIsNotRejectedUnderGroupScope() {
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long write = harness.request(RouterTestHarness.WRITE_WITH_KEY);
         harness.endAttempt(write, AttemptResult.RESET, Role.UNKNOWN, AbsentValue.NONE);
-        assertEquals(2, harness.attempts(write), "its retry is deduplicated within the group");
+        assertEquals(2, harness.attempts(write), "the retry is deduplicated within the group");
         harness.endAttempt(write, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         harness.advance(3_000 * MICROS_PER_MILLI);
         assertTrue(harness.isFailed(write));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void everyRequestIsRejectedWithoutEndpoints() {
+    void requestsOfEveryClassAreRejectedWithoutEndpoints() {
         RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
         for (int classIndex = RouterTestHarness.BOUNDED_READ;
                 classIndex <= RouterTestHarness.WRITE_WITH_KEY;
@@ -88,8 +88,8 @@
     }
 
     @Test
-    void timeoutAtTheDeadlineIsAnsweredImmediately() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+    void timeoutAtTheDeadlineRejectsTheRequestImmediately() {
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.now += 2_000 * MICROS_PER_MILLI;
         harness.endAttempt(read, AttemptResult.TIMEOUT, Role.UNKNOWN, AbsentValue.NONE);
@@ -98,7 +98,7 @@
 
     @Test
     void abandonedRequestIsNotRetried() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.handle(new RequestAbandoned(read));
         harness.endAttempt(read, AttemptResult.ERROR, Role.UNKNOWN, AbsentValue.NONE);
@@ -109,7 +109,7 @@
 
     @Test
     void eventsOfUnknownRequestsAndEndpointsAreIgnored() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         int before = harness.actions.size();
         harness.handle(
                 new AttemptOutcome(77, 0, false, AttemptResult.OK, MICROS_PER_MILLI, "r1", Role.REPLICA, 5, null));
@@ -123,7 +123,7 @@
     @ParameterizedTest
     @EnumSource(value = EndpointStatus.class, names = "LIVE", mode = EnumSource.Mode.EXCLUDE)
     void drainingOrRemovedEndpointGetsNoNewRequest(EndpointStatus status) {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r1", status, 0);
         for (int i = 0; i < 20; i++) {
             long id = harness.request(RouterTestHarness.EVENTUAL_READ);
@@ -134,17 +134,17 @@
 
     @Test
     void endpointMissingFromAFullListIsRemoved() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         List<Endpoint> rest = List.of(harness.endpointList.get(0), harness.endpointList.get(2));
         harness.handle(new EndpointUpdate(EndpointUpdateKind.FULL, rest));
         assertEquals("r2", harness.sentTo(harness.request(RouterTestHarness.EVENTUAL_READ)));
     }
 
     @Test
-    void unlistedEndpointIsUsableUnlessItWasDraining() {
+    void unlistedEndpointIsUsableUnlessDraining() {
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.unlistedEndpointsUsable = true;
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup(settings.build());
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup(settings.build());
         harness.updateEndpoint("r1", EndpointStatus.REMOVED, 0);
         harness.updateEndpoint("r2", EndpointStatus.DRAINING, 0);
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void burstIsLimitedToTheSlowStartBudget() {
+    void burstToAnEndpointInSlowStartIsLimitedByItsBudget() {
         RouterTestHarness harness = RouterTestHarness.withoutEndpoints();
         harness.endpointList.add(
                 RouterTestHarness.endpoint("r1", EndpointStatus.LIVE, harness.now - 100 * MICROS_PER_MILLI));
@@ -169,27 +169,27 @@
             }
             harness.now += 10 * MICROS_PER_MILLI;
         }
-        assertTrue(sent >= 1 && sent <= 3, "sent " + sent + " within a second");
+        assertTrue(sent >= 1 && sent <= 3, "requests sent within a second: " + sent);
     }
 
     @Test
-    void responseAfterAConnectionFailureBeginsSlowStart() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+    void responseAfterARefusedConnectionStartsSlowStart() {
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         harness.endAttempt(read, AttemptResult.UNREACHABLE, Role.UNKNOWN, AbsentValue.NONE);
         harness.reportHealth("r1", Role.REPLICA, harness.now);
-        assertTrue(harness.actions.contains("log r1 responds again, slow start"));
+        assertTrue(harness.actions.contains("log r1 responds after refusing connections, starting slow start"));
     }
 
     @Test
     void idempotentReadOnUnresponsiveEndpointIsCancelledBeforeRetry() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         String first = harness.sentTo(read);
         harness.advance(700 * MICROS_PER_MILLI);
         assertTrue(harness.isCancelled(read));
-        assertEquals(1, harness.attempts(read), "never two at once");
+        assertEquals(1, harness.attempts(read), "no retry before the cancelled attempt has ended");
         harness.endAttempt(read, AttemptResult.CANCELLED, Role.UNKNOWN, AbsentValue.NONE);
         assertNotNull(first);
     }
@@ -216,22 +216,22 @@
     }
 
     @Test
-    void sessionReadAvoidsAFormerPrimaryBehindItsToken() {
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+    void sessionReadIsNotSentToAFormerPrimaryBehindItsToken() {
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.commitWrite(5, harness.now + 5 * MICROS_PER_MILLI);
         harness.reportHealth("r1", Role.PRIMARY, harness.now + 100 * MICROS_PER_MILLI);
         long read = harness.request(RouterTestHarness.SESSION_READ, 5, AbsentValue.NONE);
-        assertNull(harness.sentTo(read), "p's position is behind the token and r1 is the primary");
+        assertNull(harness.sentTo(read), "p's position is behind the session token and r1 is the primary");
     }
 
     @Test
-    void slowResponsesSpaceTheAttemptsOfManyProxies() {
-        // Incident i9c74e4: a dozen proxies with one request each at every endpoint already built up a queue.
+    void slowResponsesLimitTheAttemptRateWithManyProxies() {
+        // Incident i9c74e4: with a dozen proxies, one request of each in flight per endpoint already built up queues.
         RouterTestHarness.SettingsBuilder settings = new RouterTestHarness.SettingsBuilder();
         settings.proxyCount = 12;
         settings.healthChecksAllowed = false;
         RouterTestHarness harness = new RouterTestHarness(settings.build());
-        harness.listEndpoints("r1");
+        harness.addEndpoints("r1");
         for (int i = 0; i < 30; i++) {
             long id = harness.request(RouterTestHarness.EVENTUAL_READ);
             if (harness.sentTo(id) != null) {
@@ -252,13 +252,15 @@
         assertEquals("r1", harness.sentTo(first));
         harness.succeed(first);
         long second = harness.request(RouterTestHarness.EVENTUAL_READ);
-        assertNull(harness.sentTo(second), "nothing is in flight, but the next attempt is spaced");
+        assertNull(
+                harness.sentTo(second),
+                "no attempt is in flight, but the minimum interval between attempts is not over");
     }
 
     @Test
     void longRequestIsNotCancelledWhileHealthChecksPass() {
-        // Incident i6aa7ab: with few requests at each endpoint, one long request ejected a healthy one.
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        // Incident i6aa7ab: with few requests per endpoint, one long request caused a healthy endpoint to be ejected.
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         long read = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 24; i++) {
             harness.advance(25 * MICROS_PER_MILLI);
@@ -274,10 +276,10 @@
 
     @Test
     void responsesToEarlierAttemptsDoNotReadmitAnOutlier() {
-        // Incident h25ee0b: responses to old attempts readmitted an outlier many times a second.
-        RouterTestHarness harness = RouterTestHarness.withKnownGroup();
+        // Incident h25ee0b: responses to attempts sent before the ejection readmitted an outlier many times a second.
+        RouterTestHarness harness = RouterTestHarness.withHealthyGroup();
         harness.updateEndpoint("r2", EndpointStatus.REMOVED, 0);
-        long earlier = harness.request(RouterTestHarness.EVENTUAL_READ);
+        long sentBeforeEjection = harness.request(RouterTestHarness.EVENTUAL_READ);
         for (int i = 0; i < 5; i++) {
             harness.now += MICROS_PER_MILLI;
             long id = harness.request(RouterTestHarness.EVENTUAL_READ);
@@ -285,9 +287,10 @@
                 harness.endAttempt(id, AttemptResult.ERROR, Role.REPLICA, AbsentValue.NONE);
             }
         }
-        assertTrue(harness.actions.contains("log r1 ejected: failure rate"));
-        harness.succeed(earlier);
-        assertFalse(harness.actions.contains("log r1 readmitted"));
+        assertTrue(harness.actions.contains(
+                "log r1 ejected: failure rate above the ejection threshold, only trial attempts until one succeeds"));
+        harness.succeed(sentBeforeEjection);
+        assertFalse(harness.actions.contains("log r1 readmitted: attempt succeeded"));
         harness.advance(600 * MICROS_PER_MILLI);
         long trial = harness.request(RouterTestHarness.EVENTUAL_READ);
         assertTrue(harness.actions.stream().anyMatch(a -> a.endsWith(" r1") && a.startsWith("send")));
